--- a/include/walnut/registry/dialect.h
+++ b/include/walnut/registry/dialect.h
@@ -1,24 +1,26 @@
 #pragma once
 /// @file
-/// How operators and workers speak to a registry, and how it speaks to workers. Implemented by a
-/// dialect; paths and field names are known nowhere else.
+/// Interfaces of the HTTP dialect between a registry, its operators and its workers. Paths and
+/// field names are defined only by the implementations.
 
 #include "walnut/net/http_message.h"
 #include "walnut/registry/registry.h"
 
 namespace walnut::registry {
 
+/// Parser of the HTTP requests of operators and workers, and writer of the responses.
 class ControlDialect {
  public:
   virtual ~ControlDialect() = default;
-  /// @return the call, or `notFound` or an error that names the field.
+  /// @return the call, or `notFound`, or an error that names the field.
   virtual base::Result<ControlCall> readCall(const net::HttpRequest& request) const = 0;
   virtual net::HttpResponse writeAnswer(const ControlCall& call,
                                         const ControlAnswer& answer) const = 0;
-  /// Of a request that is no call.
+  /// @return the response to a request that is not a call.
   virtual net::HttpResponse writeError(const base::Error& error) const = 0;
 };
 
+/// Writer of HTTP requests to workers, and parser of their responses.
 class WorkerDialect {
  public:
   virtual ~WorkerDialect() = default;
--- a/include/walnut/registry/feature_level.h
+++ b/include/walnut/registry/feature_level.h
@@ -1,15 +1,15 @@
 #pragma once
 /// @file
-/// What a build of the registry and of gateways knows beyond the protocol version, so that builds
-/// of different levels run side by side.
+/// Feature levels: features of a build of the registry or of a gateway beyond the protocol version,
+/// which let builds of different levels run side by side.
 
 #include <cstdint>
 
 namespace walnut::registry {
 
-/// A message of a level goes only to peers that have said in their Hello that they know it. An
-/// entry of the log of a level is proposed only once every server of the cell has: from then on the
-/// cell is of that level for good (RaiseFeatureLevel), and takes in no server of a lower one.
+/// A message of some level is sent only to peers that announced that level in their Hello. A log
+/// entry of some level is proposed only once every server of the cell has announced it: from then
+/// on the cell has that level for good (RaiseFeatureLevel) and admits no server of a lower one.
 namespace feature {
 /// EvacuateZone, StoreZoneEvacuation.
 inline constexpr std::uint32_t kZoneEvacuation = 1;
@@ -19,10 +19,10 @@
 inline constexpr std::uint32_t kWorkerLimits = 3;
 }  // namespace feature
 
-/// Of this build.
+/// Feature level of this build.
 inline constexpr std::uint32_t kFeatureLevel = feature::kWorkerLimits;
-/// To which a cell is raised: what came later needs nothing of its log, so that servers of this
-/// level are still taken in.
+/// Level to which a cell is raised. Later features need no log entries, so that servers of this
+/// level can still be admitted.
 inline constexpr std::uint32_t kCellFeatureLevel = feature::kHeartbeatBatches;
 
 }  // namespace walnut::registry
--- a/include/walnut/registry/messages.h
+++ b/include/walnut/registry/messages.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Messages of the registry: between its servers, and between its leader and gateways.
-/// Alternatives of the variants are part of the protocol: append only.
+/// Messages between the servers of the registry, and between its leader and gateways. The order of
+/// the variants' alternatives is part of the protocol: new ones may only be appended.
 
 #include <cereal/types/optional.hpp>
 #include <cereal/types/string.hpp>
@@ -23,9 +23,9 @@
 
 namespace walnut::registry {
 
-/// @name Calls from outside, as any server takes them and forwards them to the leader
+/// @name External calls, which any server accepts and forwards to the leader
 /// @{
-/// Declares a document, in the text form that it is read back in.
+/// Declares a document, in the text form in which ReadDocument returns it.
 struct ReplaceDocument {
   std::string text;
   template <class Archive>
@@ -33,10 +33,12 @@
     archive(text);
   }
 };
+/// Reads the declared document.
 struct ReadDocument {
   template <class Archive>
   void serialize(Archive&) {}
 };
+/// A worker's heartbeat.
 struct ReportAlive {
   Heartbeat heartbeat;
   template <class Archive>
@@ -44,21 +46,21 @@
     archive(heartbeat);
   }
 };
-/// The worker gets no new work and is forgotten.
+/// Deregisters a worker: it gets no new requests and is forgotten.
 struct ReportGone {
   std::string name;
-  std::uint64_t bornMillis = 0;  ///< Of the life that ends; 0: the present one.
+  std::uint64_t bornMillis = 0;  ///< Start time of the incarnation that ends; 0: the present one.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name, bornMillis);
   }
 };
-/// Nothing new is to be sent to the workers of a zone, or no longer so.
+/// Begins or ends the evacuation of a zone, during which its workers get no new requests.
 struct EvacuateZone {
   base::ZoneId zone;
   bool evacuated = true;  ///< False: the evacuation ends.
-  /// Changes of that zone which the server that took the call had applied by then: a call that
-  /// comes late, after later ones were acknowledged, changes nothing.
+  /// Revision of the zone at the server that accepted the call: a call that arrives after later
+  /// ones were acknowledged changes nothing.
   std::uint64_t basedOn = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -71,16 +73,17 @@
     std::variant<ReplaceDocument, ReadDocument, ReportAlive, ReportGone, EvacuateZone>;
 
 enum class ControlStatus : std::uint8_t {
-  done = 0,         ///< Durable beyond the losses that the cell is to survive.
+  done = 0,         ///< Durable, even if the tolerated number of disks is lost.
   refused = 1,      ///< The caller must change its input; `error` names the field.
-  unavailable = 2,  ///< It may or may not take effect; to be sent again.
+  unavailable = 2,  ///< The call may or may not take effect; the caller should repeat it.
 };
 
+/// Answer to an external call.
 struct ControlAnswer {
   ControlStatus status = ControlStatus::unavailable;
   base::Error error;
   std::string text;  ///< The document, for ReadDocument.
-  /// Where further calls are answered without being forwarded.
+  /// Server that answers further calls without forwarding them.
   std::optional<base::Endpoint> leader;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -88,6 +91,7 @@
   }
 };
 
+/// Server to leader: an external call.
 struct ForwardedCall {
   std::uint64_t sequence = 0;
   ControlCall call;
@@ -96,6 +100,7 @@
     archive(sequence, call);
   }
 };
+/// Leader to server: the answer to a ForwardedCall.
 struct ForwardedAnswer {
   std::uint64_t sequence = 0;
   ControlAnswer answer;
@@ -105,27 +110,27 @@
   }
 };
 
-/// A worker called again, and said the same as in its last Heartbeat but for the sequence.
+/// A worker's heartbeat that differs from its last full one in the sequence only.
 struct WorkerHeard {
   WorkerId worker;
   std::uint64_t sequence = 0;
-  std::uint64_t holdingsHash = 0;  ///< Of what it holds: hashOf(Heartbeat).
+  std::uint64_t holdingsHash = 0;  ///< Hash of its holdings: hashOf(Heartbeat).
   template <class Archive>
   void serialize(Archive& archive) {
     archive(worker, sequence, holdingsHash);
   }
 };
-/// Server to leader: heartbeats that the server has acknowledged, since nothing replicated changes
-/// by them. What is lost of it is made good by the workers' next ones.
+/// Server to leader: heartbeats that the server has acknowledged, as they change no replicated
+/// state. Lost batches are made up for by the workers' next heartbeats.
 struct HeartbeatBatch {
-  std::vector<Heartbeat> changed;  ///< That say something new to this leader.
-  std::vector<WorkerHeard> heard;
+  std::vector<Heartbeat> changed;  ///< Heartbeats with new information for this leader.
+  std::vector<WorkerHeard> heard;  ///< All other heartbeats.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(changed, heard);
   }
 };
-/// Leader to server: it doesn't know what these workers hold.
+/// Leader to server: requests full heartbeats of workers whose holdings the leader does not know.
 struct HeartbeatsWanted {
   std::vector<WorkerId> workers;
   template <class Archive>
@@ -134,7 +139,7 @@
   }
 };
 
-/// A server that hears no leader asks any other one to be admitted to the cell.
+/// Request for admission to the cell, sent to any server by a server without contact to a leader.
 struct JoinRequest {
   consensus::Member member;
   template <class Archive>
@@ -142,7 +147,7 @@
     archive(member);
   }
 };
-/// Who is in the cell as far as the answering server knows.
+/// Members of the cell as far as the answering server knows.
 struct JoinReply {
   consensus::Membership membership;
   template <class Archive>
@@ -151,12 +156,12 @@
   }
 };
 
-/// Where a gateway stands in taking a document; all 0: it takes none.
+/// Progress of a gateway in receiving a document; all 0: no transfer.
 struct DocumentCursor {
   std::uint64_t version = 0;
-  std::uint64_t baseVersion = 0;  ///< Of a delta; 0: of a whole document.
-  std::uint64_t hash = 0;         ///< Of all bytes.
-  std::uint64_t received = 0;     ///< Bytes, from the first on.
+  std::uint64_t baseVersion = 0;  ///< Base of the delta; 0: a whole document.
+  std::uint64_t hash = 0;         ///< Hash of all bytes.
+  std::uint64_t received = 0;     ///< Number of leading bytes received.
 
   bool operator==(const DocumentCursor&) const = default;
   template <class Archive>
@@ -165,10 +170,10 @@
   }
 };
 
-/// A gateway asks for the state of workers and for the document, now and as they change.
+/// Gateway to leader: subscribes to the state of workers and to the document.
 struct Subscribe {
-  std::uint64_t documentVersion = 0;  ///< That it holds; 0: none.
-  DocumentCursor cursor;              ///< What it has of a newer one, from any server.
+  std::uint64_t documentVersion = 0;  ///< Version that the gateway holds; 0: none.
+  DocumentCursor cursor;              ///< Progress of a newer one, from any server.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(documentVersion, cursor);
@@ -190,7 +195,7 @@
     archive(version, baseVersion, hash, totalBytes, offset, bytes);
   }
 };
-/// Gateway to leader, for each part: lets the leader send more.
+/// Gateway to leader: acknowledges a part, so that the leader sends more.
 struct DocumentPartTaken {
   DocumentCursor cursor;
   template <class Archive>
@@ -199,7 +204,7 @@
   }
 };
 
-/// The server doesn't lead, or no longer does.
+/// Server to gateway: the server does not lead, or no longer leads.
 struct NotLeading {
   std::vector<base::Endpoint> servers;  ///< Internal endpoints of the cell.
   std::optional<base::Endpoint> leader;
@@ -209,10 +214,10 @@
   }
 };
 
-/// Requests that run on a worker.
+/// Number of requests that run on a worker.
 struct WorkerLoad {
   WorkerId worker;
-  std::string model;  ///< Empty: of a plain service, or all models together.
+  std::string model;  ///< Empty: plain service, or all models together.
   std::uint32_t running = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -220,15 +225,15 @@
   }
 };
 
-/// A worker as gateways see it.
+/// State of a worker as published to gateways.
 struct WorkerView {
   WorkerRecord record;
-  bool silent = false;            ///< It has not been heard of for some time.
-  bool failing = false;           ///< It fails what it is sent, as gateways together have seen.
-  bool holdingsKnown = false;     ///< Else a gateway keeps what it was told before.
-  std::vector<HeldModel> models;  ///< Without what is about to be unloaded.
-  /// Requests a second that it takes from all gateways together; absent: it names no limit. Told in
-  /// a PackedView only, to gateways of level `kWorkerLimits`.
+  bool silent = false;            ///< True if it is unresponsive.
+  bool failing = false;           ///< True if it fails requests, by the reports of all gateways.
+  bool holdingsKnown = false;     ///< If false, a gateway keeps the models it was sent before.
+  std::vector<HeldModel> models;  ///< Without models about to be unloaded.
+  /// Requests per second that it accepts from all gateways together; absent: it announces no limit.
+  /// Sent only in a PackedView, to gateways of level `kWorkerLimits`.
   std::optional<double> limit;
 
   bool operator==(const WorkerView&) const = default;
@@ -238,19 +243,19 @@
   }
 };
 
-/// Leader to gateway. The first one on a connection is complete and replaces what the gateway knows
-/// of workers. Sent at least every view interval, as a PackedView. It names the newest document,
-/// which comes in parts (DocumentPart) if the gateway's is older.
+/// Leader to gateway: changes of the view of workers. The first one on a connection is complete and
+/// replaces the gateway's view. Sent at least every view interval, as a PackedView. It has the
+/// version of the newest document, which follows in parts (DocumentPart) if the gateway's is older.
 struct ViewUpdate {
   consensus::Term term = 0;
   bool complete = false;
   std::uint64_t documentVersion = 0;
   std::vector<WorkerView> changed;
   std::vector<WorkerId> removed;
-  /// Of all gateways together: what changed since the last update that had any; 0 ends one. A
-  /// complete update has all.
+  /// Loads by all gateways together that changed since the last update with loads; 0 ends a load. A
+  /// complete update has all loads.
   std::vector<WorkerLoad> loads;
-  std::uint32_t gateways = 1;           ///< That share what is allotted to all of them.
+  std::uint32_t gateways = 1;           ///< Number of gateways that share common budgets.
   std::vector<base::Endpoint> servers;  ///< Internal endpoints of the cell; empty: as before.
   template <class Archive>
   void serialize(Archive& archive) {
@@ -258,8 +263,8 @@
   }
 };
 
-/// Leader to gateway: a ViewUpdate in the form of registry/view_codec.h. Refers to what was sent
-/// before on the same connection.
+/// Leader to gateway: a ViewUpdate in the encoding of registry/view_codec.h. It refers to updates
+/// sent before on the same connection.
 struct PackedView {
   std::string bytes;
   template <class Archive>
@@ -268,43 +273,44 @@
   }
 };
 
-/// Requests for one model, or one adapter of it, at one gateway.
+/// Demand for one model, or one adapter of it, at one gateway.
 struct ModelDemand {
   std::string service;
   std::string model;
   std::string adapter;  ///< Empty: the model itself.
   std::uint32_t waiting = 0;
-  std::uint32_t arrivals = 0;  ///< Since the last report.
-  /// Of the most urgent one among those that wait or arrived; 0 is the highest.
+  std::uint32_t arrivals = 0;  ///< Requests that arrived since the last report.
+  /// Highest priority among the requests that wait or arrived; 0 is the highest of all.
   std::uint32_t priority = 0;
-  /// The shortest target latency among them; 0 if there is none.
+  /// Shortest target latency among them; 0 if there is none.
   base::Duration targetLatency{0};
   /// @name Attempts since the last report
   /// @{
-  std::uint32_t answered = 0;  ///< A worker has begun to answer, with success.
-  std::uint32_t failed = 0;    ///< A worker failed or went silent.
+  std::uint32_t answered = 0;  ///< Attempts that a worker began to answer successfully.
+  std::uint32_t failed = 0;    ///< Attempts at which a worker failed or became unresponsive.
   /// @}
   template <class Archive>
   void serialize(Archive& archive) {
     archive(service, model, adapter, waiting, arrivals, priority, targetLatency, answered, failed);
   }
 };
-/// What became of the attempts of one gateway at one worker since the gateway's last report.
+/// Outcomes of the attempts of one gateway at one worker since the gateway's last report.
 struct WorkerOutcomes {
   WorkerId worker;
-  std::uint32_t answered = 0;  ///< It has begun to answer, with success.
-  std::uint32_t failed = 0;    ///< It failed or went silent.
-  std::uint32_t stalled = 0;   ///< The same, while it had requests for all its slots.
+  std::uint32_t answered = 0;  ///< Attempts that it began to answer successfully.
+  std::uint32_t failed = 0;    ///< Attempts at which it failed or became unresponsive.
+  std::uint32_t stalled = 0;   ///< Such failures while all its slots were in use.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(worker, answered, failed, stalled);
   }
 };
-/// Gateway to leader. Replaces the waiting counts and the loads that this gateway reported before.
+/// Gateway to leader: demand, loads and outcomes. Replaces the waiting counts and the loads that
+/// this gateway reported before.
 struct DemandUpdate {
   std::vector<ModelDemand> demands;
   std::vector<WorkerLoad> loads;
-  std::vector<WorkerId> unreachable;  ///< Workers that the gateway can't reach at present.
+  std::vector<WorkerId> unreachable;  ///< Workers that the gateway can't reach now.
   std::vector<WorkerOutcomes> outcomes;
 
   bool empty() const {
@@ -316,46 +322,47 @@
   }
 };
 
-/// A request that a worker had, and had not answered a part of, when its connection ended.
+/// A request that a worker had, and had not answered even in part, when its connection ended.
 struct RequestCut {
   RequestDigest request;
   WorkerId worker;
-  bool begun = false;     ///< The head of its answer had come: it was no longer queued.
-  base::Duration age{0};  ///< Since the connection ended.
+  bool begun = false;     ///< True if the head of its answer had arrived: it was no longer queued.
+  base::Duration age{0};  ///< Time since the connection ended.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(request, worker, begun, age);
   }
 };
-/// Gateway to leader: which requests may have crashed their workers. Sent only if there are any;
-/// each is sent once, and again to a leader that is new to the gateway.
+/// Gateway to leader: requests that may have crashed their workers. Sent only if there are any;
+/// each is sent once, and once more to each new leader.
 struct CutReport {
   std::vector<RequestCut> cuts;
-  std::vector<RequestDigest> answered;  ///< Suspects that were answered: they crash nobody.
+  std::vector<RequestDigest> answered;  ///< Suspects that were answered, so they crash no worker.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(cuts, answered);
   }
 };
 
-/// How a request that may crash its workers is treated.
+/// Treatment of a request that may crash its workers.
 enum class RequestStanding : std::uint8_t {
-  suspected = 0,    ///< It goes on; that it is answered is worth telling.
-  held = 1,         ///< Not sent until it is known whether a worker has ended under it once more.
-  quarantined = 2,  ///< Not sent to a worker any more.
+  suspected = 0,    ///< It is sent to workers; the gateway reports if it is answered.
+  held = 1,         ///< Not sent until it is known whether it has crashed another worker.
+  quarantined = 2,  ///< No longer sent to any worker.
 };
+/// A request that may crash its workers, with its treatment.
 struct SuspectRequest {
   RequestDigest request;
   RequestStanding standing = RequestStanding::suspected;
-  std::uint32_t crashes = 0;    ///< Workers that ended with it.
-  base::Duration remaining{0};  ///< For which the standing lasts, if nothing new is learned.
+  std::uint32_t crashes = 0;    ///< Number of workers that crashed while they had it.
+  base::Duration remaining{0};  ///< Time until the standing expires, without new evidence.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(request, standing, crashes, remaining);
   }
 };
-/// Leader to gateway: all requests that are not like others. Sent when it changes, and before the
-/// first view on a connection if there are any; without it there are none.
+/// Leader to gateway: all suspect requests. Sent when the list changes, and before the first view
+/// on a connection unless it is empty; a gateway without a list assumes that there are none.
 struct SuspectList {
   std::vector<SuspectRequest> requests;
   template <class Archive>
@@ -364,17 +371,17 @@
   }
 };
 
-/// Gateway to leader: which document is the newest one? What the gateway knows of keys counts only
-/// for some time from this question.
+/// Gateway to leader: query for the version of the newest document. The gateway trusts its API keys
+/// only for a limited time from this query.
 struct ConfirmDocument {
-  std::uint64_t sequence = 0;  ///< Of the gateway; echoed.
+  std::uint64_t sequence = 0;  ///< Number chosen by the gateway; echoed.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(sequence);
   }
 };
-/// Leader to gateway: at some time after the question, confirmed by a majority of the cell, no
-/// document above this version was acknowledged.
+/// Leader to gateway: at some time after the query, no document above this version was
+/// acknowledged. A majority of the cell has confirmed that.
 struct DocumentConfirmed {
   std::uint64_t sequence = 0;
   std::uint64_t documentVersion = 0;
@@ -384,19 +391,19 @@
   }
 };
 
-/// A model that is asked for, that no worker serves, and that will not be there soon.
+/// A requested model that no worker serves and that will not be available soon.
 struct LateModel {
   std::string service;
   std::string model;
-  base::Duration availableIn{0};  ///< As expected when it was sent.
+  base::Duration availableIn{0};  ///< Expected time, counted from when the message was sent.
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(service, model, availableIn);
   }
 };
-/// Leader to gateway: all such models. Sent before the first view on a connection, when it changes,
-/// and again and again while there are any: it counts for `kLateModelsLast`.
+/// Leader to gateway: all late models. Sent before the first view on a connection, when the list
+/// changes, and repeatedly while it is not empty, as it expires after `kLateModelsLast`.
 struct LateModels {
   std::vector<LateModel> models;
   template <class Archive>
@@ -413,7 +420,7 @@
                  LateModels, HeartbeatBatch, HeartbeatsWanted, LimitReport, ShareRequest,
                  ShareGrant>;
 
-/// One alternative of protocol::Message for all of the registry's.
+/// The alternative of protocol::Message that carries all messages of the registry.
 struct RegistryMessage {
   MessageBody body;
   template <class Archive>
--- a/include/walnut/registry/registry.h
+++ b/include/walnut/registry/registry.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Pure interface of a registry server's decision logic: a replicated cell that holds the
-/// operator's document and the list of workers, and whose leader orders what workers load.
+/// Abstract interface of a registry server's decision logic. The servers form a replicated cell
+/// that stores the operator's document and the list of workers; its leader orders workers to load
+/// models.
 
 #include <cstdint>
 #include <memory>
@@ -20,7 +21,7 @@
 
 namespace walnut::registry {
 
-/// Reads the text form of a document. Pure.
+/// Parser of the text form of a document. It has no side effects.
 class DocumentReader {
  public:
   virtual ~DocumentReader() = default;
@@ -28,46 +29,48 @@
   virtual base::Result<catalog::Document> read(const std::string& text) const = 0;
 };
 
-/// How exactly the quotas of tenants have to be kept over all gateways. In each window a tenant may
-/// use (rate x window + burst) x (1 + overshoot) + slack.
+/// Accuracy with which the quotas of tenants are enforced over all gateways. In each window a
+/// tenant may use (rate x window + burst) x (1 + overshoot) + slack.
 struct QuotaOptions {
   base::Duration window = std::chrono::seconds(8);
   double overshoot = 0;
-  double slack = 0;  ///< In the units that the tenant's quota counts in.
+  double slack = 0;  ///< In the units of the tenant's quota.
 };
 
 /// Settings of the registry's logic. Sources of the defaults: docs/DESIGN.md, "Timing".
 struct RegistryOptions {
   consensus::RaftOptions raft;
-  std::string name;        ///< Of this server, as the holder of orders.
+  std::string name;        ///< Name of this server as the holder of the order lease.
   consensus::Member self;  ///< Its id is that of the recovered state.
-  /// Internal endpoints of servers to ask for admission, beside those of the known membership.
+  /// Internal endpoints of servers to ask for admission, besides those of the known membership.
   std::vector<base::Endpoint> joinEndpoints;
-  std::vector<base::ZoneId> zones;    ///< That workers may be in; empty: any.
-  std::uint32_t tolerableLosses = 2;  ///< Disks that may be lost at once.
-  base::Duration callTimeout = std::chrono::milliseconds(900);  ///< Heartbeats and the like.
-  base::Duration documentTimeout = std::chrono::milliseconds(900);
-  base::Duration viewInterval = std::chrono::milliseconds(250);  ///< Longest silence to gateways.
+  std::vector<base::ZoneId> zones;    ///< Zones that workers may be in; empty: any.
+  std::uint32_t tolerableLosses = 2;  ///< Number of disks that may be lost at once.
+  base::Duration callTimeout = std::chrono::milliseconds(900);      ///< Calls without a document.
+  base::Duration documentTimeout = std::chrono::milliseconds(900);  ///< Calls with a document.
+  base::Duration viewInterval = std::chrono::milliseconds(250);  ///< Longest time between updates.
   base::Duration planInterval = std::chrono::milliseconds(100);
   base::Duration joinInterval = std::chrono::milliseconds(250);
   base::Duration joinAfterSilence = std::chrono::milliseconds(1200);
-  base::Duration heartbeatInterval = std::chrono::milliseconds(1200);  ///< Of workers.
-  /// Silence from which a worker gets no new work while others can take it, in heartbeats.
+  base::Duration heartbeatInterval = std::chrono::milliseconds(1200);  ///< Heartbeats of workers.
+  /// Time without contact after which a worker counts as unresponsive and gets no new requests
+  /// while others can take them, in heartbeat intervals.
   double silentHeartbeats = 3.4;
-  /// The same, if some gateway can't reach it.
+  /// The same for a worker that some gateway can't reach.
   double overdueHeartbeats = 1.3;
   base::Duration workerForgottenAfter = std::chrono::seconds(20);
-  base::Duration orderLease = std::chrono::milliseconds(3000);  ///< A holder's turn, after its end.
-  bool ordersFenced = false;  ///< Workers refuse a fencing token below one that they have seen.
-  /// @name Loads from the weight store, counted in any such window
+  /// Time after the last order of a holder in which no other server may order the same worker.
+  base::Duration orderLease = std::chrono::milliseconds(3000);
+  bool ordersFenced = false;  ///< True if workers refuse fencing tokens below the highest seen.
+  /// @name Rate limit of loads from the weight store, counted in any such window
   /// @{
   base::Duration storeWindow = std::chrono::seconds(5);
-  double storeOvershoot = 1.1;  ///< Of the rate, allowed within a window.
+  double storeOvershoot = 1.1;  ///< Factor of the rate that is allowed within a window.
   /// @}
   QuotaOptions quota;
   base::Duration orderTimeout = std::chrono::seconds(1);
   base::Duration adapterSettleTime = std::chrono::milliseconds(40);
-  std::size_t snapshotEveryBytes = 512U << 10U;  ///< Of commands since the last snapshot.
+  std::size_t snapshotEveryBytes = 512U << 10U;  ///< Least bytes of commands between snapshots.
   std::size_t snapshotKeepEntries = 16;
 };
 
@@ -84,32 +87,35 @@
   protocol::ConnectionId connection;
   protocol::Message message;
 };
-/// From outside; `call` is chosen by the driver and echoed.
+/// An external call; `call` is a number chosen by the driver and echoed.
 struct CallReceived {
   std::uint64_t call = 0;
   ControlCall body;
 };
-/// What a worker answered to an order.
+/// A worker's answer to an order.
 enum class OrderOutcome : std::uint8_t {
-  accepted,     ///< It is being done, or an adapter is on its way.
-  alreadyDone,  ///< It holds it already, or has dropped it at once.
-  busy,         ///< Another order is under way, or the expected count differs.
-  fenced,       ///< It has seen a higher fencing token.
+  accepted,     ///< The order is in progress, or an adapter is in transfer.
+  alreadyDone,  ///< The model is already loaded, or was unloaded immediately.
+  busy,         ///< Another order is in progress, or the expected count differs.
+  fenced,       ///< The worker has seen a higher fencing token.
   misdirected,  ///< Another worker is at that address.
-  refused,      ///< The order itself is wrong.
-  unclear,      ///< No clear answer: it may be carried out now, later or never.
+  refused,      ///< The order is invalid.
+  unclear,      ///< No clear answer: the order may be carried out now, later or never.
 };
+/// The outcome of a SendOrder.
 struct OrderFinished {
   std::uint64_t order = 0;
   OrderOutcome outcome = OrderOutcome::unclear;
 };
+/// The outcome of a ReadReport.
 struct ReportFinished {
   WorkerId worker;
   base::Result<WorkerReport> report;
 };
+/// The last `persist` batch is durable.
 struct Persisted {};
 struct Tick {};
-/// Planned stop: hands over leadership.
+/// The process is about to stop: the server hands over leadership.
 struct PlannedStop {};
 /// @}
 
@@ -118,7 +124,7 @@
 
 /// @name Outputs
 /// @{
-/// To a server whose identity is not known, by its internal endpoint.
+/// Sends a message to the internal endpoint of a server whose id is not known.
 struct SendToEndpoint {
   base::Endpoint endpoint;
   protocol::Message message;
@@ -127,7 +133,7 @@
   std::uint64_t call = 0;
   ControlAnswer answer;
 };
-/// OrderFinished must follow.
+/// Sends an order to a worker; OrderFinished must follow.
 struct SendOrder {
   std::uint64_t order = 0;
   WorkerRecord worker;
@@ -138,7 +144,7 @@
   std::string holder;
   std::uint64_t fence = 0;
 };
-/// ReportFinished must follow.
+/// Requests a report from a worker; ReportFinished must follow.
 struct ReadReport {
   WorkerRecord worker;
 };
@@ -147,17 +153,17 @@
 using RegistryAction = std::variant<control::SendToServer, control::SendToConnection,
                                     SendToEndpoint, CallAnswered, SendOrder, ReadReport>;
 
-/// The driver persists and syncs `persist` first, then carries out the actions in order, then hands
-/// in `Persisted` if `persist` was not empty.
+/// Outputs of one step. The driver first persists and syncs `persist`, then performs the actions in
+/// order, then passes `Persisted` if `persist` was not empty.
 struct RegistryOutputs {
   consensus::PersistBatch persist;
   std::vector<RegistryAction> actions;
-  /// An entry or a snapshot that this build can't read: its state would differ from the others'.
-  /// The driver ends the process, and carries out nothing more.
+  /// Error of an entry or snapshot that this build can't decode; its state would diverge from the
+  /// others'. The driver ends the process and performs nothing more.
   std::optional<base::Error> unreadable;
 };
 
-/// Decision logic of one server. Deterministic, no I/O, owned by one loop.
+/// Decision logic of one registry server. Deterministic, without I/O, owned by one event loop.
 class Registry {
  public:
   virtual ~Registry() = default;
@@ -167,8 +173,8 @@
   virtual consensus::RaftStatus raftStatus() const = 0;
 };
 
-/// @param founders membership of a new cell, the same on all of them; empty for a server that asks
-/// to be admitted. Used only if nothing was recovered.
+/// @param founders membership of a new cell, the same on all its servers; empty for a server that
+/// requests admission. Used only if nothing was recovered.
 std::unique_ptr<Registry> makeRegistry(const RegistryOptions& options,
                                        consensus::RecoveredState recovered,
                                        const consensus::Membership& founders,
--- a/include/walnut/registry/view_codec.h
+++ b/include/walnut/registry/view_codec.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The form in which views go over the wire from a leader to its gateways. A leader tells each
-/// change to every gateway, so that bytes grow with changes x gateways: names are told once a
-/// connection and numbered from then on, a worker's record is told only when it is new, and numbers
-/// take as many bytes as they need (LEB128).
+/// Compact wire encoding of views, from a leader to its gateways. A leader sends each change to
+/// every gateway, so that traffic grows with changes x gateways. Therefore names are sent once per
+/// connection and referred to by number, a worker's record is sent only when it is new, and numbers
+/// are of variable length (LEB128).
 
 #include <cstdint>
 #include <map>
@@ -17,21 +17,22 @@
 
 namespace walnut::registry {
 
-/// What one gateway has been told by an encoder on its present connection.
+/// State of the encoding for one gateway on its present connection: what was sent to it before.
 struct ViewCursor {
-  std::uint64_t epoch = 0;                         ///< Of the encoder's names.
-  std::vector<bool> names;                         ///< By number.
-  std::map<std::uint32_t, std::uint64_t> records;  ///< Revisions, by the number of the worker.
+  std::uint64_t epoch = 0;                         ///< Epoch of the encoder's name numbers.
+  std::vector<bool> names;                         ///< True for names sent, by number.
+  std::map<std::uint32_t, std::uint64_t> records;  ///< Revisions sent, by number of the worker.
   bool takesLimits = false;                        ///< The gateway reads limits of workers.
 };
 
-/// Kept by the leader, one for all gateways. Views must be sent in the order of encoding.
+/// Encoder of views; the leader has one for all gateways. Views must be sent in the order in which
+/// they were encoded.
 class ViewEncoder {
  public:
-  /// Names that are numbered before numbering starts anew: workers and models come and go.
+  /// Most names that are numbered before the numbering is reset: workers and models come and go.
   static constexpr std::size_t kMostNames = 1U << 16U;
 
-  /// @param cursor of the receiver; a complete view starts it anew.
+  /// @param cursor state of the receiver; a complete view resets it.
   std::string encode(const ViewUpdate& view, ViewCursor& cursor);
 
  private:
@@ -48,14 +49,14 @@
 
   std::uint64_t epoch_ = 1;
   std::unordered_map<std::string, std::uint32_t> numbers_;
-  std::map<std::uint32_t, Record> records_;  ///< As last encoded, by the number of the worker.
+  std::map<std::uint32_t, Record> records_;  ///< Last encoded records, by number of the worker.
 };
 
-/// Kept by a gateway for the connection to the leader that it follows.
+/// Decoder of views; a gateway has one for its connection to the leader.
 class ViewDecoder {
  public:
-  /// @return the view as it was encoded, or `malformedInput`: the gateway must then subscribe
-  /// again, and is sent a complete view.
+  /// @return the view, or `malformedInput`: the gateway must then subscribe again, and is sent a
+  /// complete view.
   base::Result<ViewUpdate> decode(std::string_view bytes);
 
  private:
--- a/include/walnut/registry/worker.h
+++ b/include/walnut/registry/worker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Workers as the registry knows them.
+/// Data types of the registry for workers, their heartbeats and reports.
 
 #include <cereal/types/string.hpp>
 #include <cereal/types/vector.hpp>
@@ -14,34 +14,34 @@
 
 namespace walnut::registry {
 
-/// One life of a worker process: whatever is kept by it ends with that life. A worker may start
-/// again under the name that it had; see `workerIdOf`.
+/// Id of one incarnation of a worker process; whatever is kept by it ends with that incarnation. A
+/// worker may restart under the same name; see `workerIdOf`.
 using WorkerId = base::StrongId<struct WorkerTag, std::string>;
 
-/// @param bornMillis when that life began, by the worker's own time of day; 0: it does not tell.
-/// @return the id of that life: the name itself if nothing tells lives apart.
+/// @param bornMillis start time of the incarnation by the worker's own clock; 0: unknown.
+/// @return the id of that incarnation; equal to the name if the start time is unknown.
 WorkerId workerIdOf(const std::string& name, std::uint64_t bornMillis);
 
-/// @param perSecond requests a second that a worker takes; absent: it names no limit.
-/// @return the limit for logs.
+/// @param perSecond requests per second that a worker accepts; absent: it announces no limit.
+/// @return the limit as text for logs.
 std::string limitText(const std::optional<double>& perSecond);
 
-/// What is replicated of a worker.
+/// The replicated record of a worker.
 struct WorkerRecord {
   WorkerId id;
   std::string service;
   base::Endpoint endpoint;
   base::ZoneId zone;
-  std::uint32_t slots = 0;  ///< Requests that it works on at once.
-  bool leaving = false;     ///< It gets no new work. Final.
-  /// @name Which life of which worker it is
+  std::uint32_t slots = 0;  ///< Number of requests that it processes at once.
+  bool leaving = false;     ///< True if it gets no new requests; never reset.
+  /// @name Identity of the incarnation
   /// @{
-  std::string name;              ///< What it is called when spoken to; empty: as its id.
-  std::uint64_t bornMillis = 0;  ///< By its own time of day; 0: not told.
+  std::string name;              ///< Name used in messages to the worker; empty: same as its id.
+  std::uint64_t bornMillis = 0;  ///< Start time by its own clock; 0: unknown.
   /// @}
 
   const std::string& calledName() const { return name.empty() ? id.value : name; }
-  /// @return true if both are lives of one worker, and this one began later.
+  /// @return true if both are incarnations of one worker and this one started later.
   bool succeeds(const WorkerRecord& other) const {
     return calledName() == other.calledName() && bornMillis > other.bornMillis;
   }
@@ -53,7 +53,7 @@
   }
 };
 
-/// A model that a worker holds, with those of its adapters that it holds.
+/// A model that a worker holds, with the adapters of it that the worker holds.
 struct HeldModel {
   std::string name;
   std::uint64_t version = 0;
@@ -66,7 +66,7 @@
   }
 };
 
-/// What a worker holds, in its own words.
+/// The models that a worker holds, as reported by the worker.
 struct Holdings {
   std::vector<HeldModel> models;
   std::vector<std::string> inMemory;  ///< Models with a copy in its host memory.
@@ -82,11 +82,11 @@
   }
 };
 
-/// A worker's call that it is alive. `sequence` grows with each call, so that a late one is known.
+/// A heartbeat of a worker. `sequence` increases with each one, so that late ones are recognized.
 struct Heartbeat {
   WorkerRecord worker;
   std::uint64_t sequence = 0;
-  bool holdingsKnown = false;  ///< False of workers of plain services.
+  bool holdingsKnown = false;  ///< False for workers of plain services.
   Holdings holdings;
 
   template <class Archive>
@@ -95,16 +95,16 @@
   }
 };
 
-/// @return a hash of what the heartbeat says that its worker holds; never 0.
+/// @return a hash of the holdings in the heartbeat; never 0.
 std::uint64_t hashOf(const Heartbeat& heartbeat);
 
-/// A worker's answer to the question what it holds and does.
+/// A worker's answer to a request for its holdings and activity.
 struct WorkerReport {
   Holdings holdings;
-  std::vector<std::string> pendingAdapters;  ///< On their way, as MODEL/ADAPTER.
+  std::vector<std::string> pendingAdapters;  ///< Adapters in transfer, as MODEL/ADAPTER.
   bool orderUnderWay = false;
-  std::uint64_t orderCount = 0;  ///< Orders that it has taken in this life.
-  std::uint64_t bornMillis = 0;  ///< Of the life that answered; 0: not told.
+  std::uint64_t orderCount = 0;  ///< Orders that it has accepted in this incarnation.
+  std::uint64_t bornMillis = 0;  ///< Start time of the incarnation that answered; 0: unknown.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/call_table.h
+++ b/src/registry/call_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Calls from outside that wait for a leader or for an entry of the log.
+/// External calls that wait for a leader or for a log entry.
 
 #include <cstdint>
 #include <map>
@@ -14,14 +14,14 @@
 
 namespace walnut::registry {
 
-/// Who gets the answer: a call of this server's own edge, or one that another server forwarded.
+/// Receiver of a call's answer: a client of this server, or the server that forwarded the call.
 struct CallOrigin {
-  std::optional<protocol::ConnectionId> connection;  ///< Absent: the own edge.
+  std::optional<protocol::ConnectionId> connection;  ///< Absent: a client of this server.
   std::uint64_t sequence = 0;
 };
 
-/// A call that is not answered yet. All calls may be repeated, so it is handed to each new leader
-/// until its time is up.
+/// A call that is not answered yet. All calls are safe to repeat, so it is handed to each new
+/// leader until its deadline.
 struct WaitingCall {
   CallOrigin origin;
   ControlCall call;
@@ -30,7 +30,8 @@
   bool isHeartbeat() const { return std::holds_alternative<ReportAlive>(call); }
 };
 
-/// Numbered by arrival. What is asked for takes time in proportion to the calls that it concerns.
+/// Table of waiting calls, numbered by arrival. Each query takes time in proportion to the number
+/// of calls that it returns.
 class CallTable {
  public:
   std::uint64_t add(WaitingCall call);
@@ -38,18 +39,19 @@
   void erase(std::uint64_t number);
   std::size_t size() const { return calls_.size(); }
 
-  /// Calls that were not given to that leader are given to it: first what is no heartbeat, then the
-  /// newest: the callers of the oldest have nearly given up, and would all be answered too late.
-  /// @param most of them, at most.
-  /// @param mostWaiting heartbeats that may wait for their answer; the rest stays here.
+  /// Hands calls to a leader that has not got them yet: first all calls other than heartbeats, then
+  /// the newest heartbeats. The senders of the oldest heartbeats are close to their time-outs, and
+  /// would all be answered too late.
+  /// @param most largest number of calls to hand over.
+  /// @param mostWaiting largest number of handed-over heartbeats without an answer; the rest wait.
   std::vector<std::uint64_t> handTo(base::ServerId leader, std::size_t most,
                                     std::size_t mostWaiting);
-  /// @return true if `handTo` the same leader would give it more now.
+  /// @return true if `handTo` the same leader would hand over more calls now.
   bool hasMore(std::size_t mostWaiting) const {
     return !others_.empty() || (!heartbeats_.empty() && handedHeartbeats_ < mostWaiting);
   }
 
-  /// @return calls whose time is up.
+  /// @return calls whose deadline has passed.
   std::vector<std::uint64_t> expired(base::TimePoint now) const;
   base::TimePoint nextDeadline() const {
     return deadlines_.empty() ? base::kNever : deadlines_.begin()->first;
@@ -63,13 +65,13 @@
     (call.isHeartbeat() ? heartbeats_ : others_).insert(number);
   }
 
-  base::ServerId leader_;  ///< That calls are given to; zero: none yet.
-  /// @name Not given to `leader_`
+  base::ServerId leader_;  ///< Leader that calls are handed to; zero: none yet.
+  /// @name Calls not handed to `leader_` yet
   /// @{
   std::set<std::uint64_t> heartbeats_;
   std::set<std::uint64_t> others_;
   /// @}
-  std::size_t handedHeartbeats_ = 0;  ///< Given to it, and not answered.
+  std::size_t handedHeartbeats_ = 0;  ///< Heartbeats handed to `leader_` and not answered.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/cell_keeper.h
+++ b/src/registry/cell_keeper.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which change of the cell's membership is due next.
+/// Decides which change of the cell's membership is due next.
 
 #include <map>
 #include <optional>
@@ -12,31 +12,33 @@
 namespace walnut::registry {
 
 struct CellKeeperOptions {
-  /// Disks that may be lost at once. The cell has 2 * losses + 1 voters when it is whole.
+  /// Number of disks that may be lost at once. A complete cell has 2 * losses + 1 voters.
   std::uint32_t tolerableLosses = 2;
-  /// A voter that was silent for this long gives way to a learner.
+  /// A voter that was unresponsive for this long is replaced by a learner.
   base::Duration silenceLimit = std::chrono::seconds(2);
-  /// A learner that was silent for this long is removed.
+  /// A learner that was unresponsive for this long is removed.
   base::Duration learnerSilenceLimit = std::chrono::seconds(30);
-  /// A request to be admitted lapses after this time; it is repeated while it is wanted.
+  /// A join request expires after this time; servers repeat it while they need it.
   base::Duration requestLifetime = std::chrono::milliseconds(1500);
 };
 
-/// Leader's policy. Invariants: a voter is only removed while there is a learner that can replace
-/// it at once, and never so that fewer than 2 * losses voters are left, so that each majority has
-/// more members than disks may be lost.
+/// Membership policy of the leader: admits learners, promotes them, and replaces failed voters.
+/// Invariants: a voter is removed only while a learner can replace it at once, and never so that
+/// fewer than 2 * losses voters are left, so that each majority has more members than disks may be
+/// lost.
 class CellKeeper {
  public:
   CellKeeper(const CellKeeperOptions& options, base::TimePoint now);
 
-  /// A server was heard.
+  /// Records contact with a server.
   void heard(base::ServerId server, base::TimePoint now) { lastHeard_[server] = now; }
-  /// A server that is not in the membership asks to be admitted. If its endpoint is that of another
-  /// member, that member's disk is lost.
+  /// Records the join request of a server that is not in the membership. If its endpoint is that of
+  /// a member, that member has lost its disk.
   void requested(const consensus::Member& member, const consensus::Membership& membership,
                  base::TimePoint now);
 
-  /// @return the membership to change to, one member from the present one; nothing if all is well.
+  /// @return the next membership, which differs from the present one by one member; nothing if no
+  /// change is due.
   std::optional<consensus::Membership> nextChange(const consensus::Membership& membership,
                                                   base::ServerId self, base::TimePoint now) const;
 
@@ -61,7 +63,7 @@
   std::set<base::ServerId> lost_;
 };
 
-/// @return true if the majority of the voters is more than the disks that may be lost.
+/// @return true if a majority of the voters exceeds the number of disks that may be lost.
 bool majorityOutlivesLosses(const consensus::Membership& membership, std::uint32_t tolerableLosses);
 
 }  // namespace walnut::registry
--- a/src/registry/cell_state.cpp
+++ b/src/registry/cell_state.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// A worker's call may be seconds late; fewer workers than this, or than there are, end in that
-/// time.
+/// Least number of forgotten workers that are remembered. A heartbeat may be seconds late; within
+/// that time fewer workers end than this number, or than there are workers.
 constexpr std::size_t kLeastForgotten = 1024;
-/// A leader reads them after each batch of entries.
+/// Bound of `changes_`, which a leader reads after each batch of entries.
 constexpr std::size_t kMostChanges = 8192;
 
 template <class... Handlers>
@@ -146,7 +146,8 @@
   }
 }
 
-/// Servers of the first builds forget all but the least number: all must do alike.
+/// At feature level 0 the cell may have servers of early builds, which always remember the least
+/// number only; all servers must do the same.
 std::size_t CellState::mostForgotten() const {
   return featureLevel_ == 0 ? kLeastForgotten : std::max(kLeastForgotten, workers_.size());
 }
--- a/src/registry/cell_state.h
+++ b/src/registry/cell_state.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// The replicated state of the registry: the declared document, the list of workers and the
-/// evidence against requests that crash them.
+/// evidence of which requests crash workers.
 
 #include <cereal/types/deque.hpp>
 #include <cereal/types/map.hpp>
@@ -22,9 +22,9 @@
 
 namespace walnut::registry {
 
-/// @name Commands, each an entry of the log
+/// @name Commands; each is the payload of one log entry
 /// @{
-/// Takes effect only if its version is above the one held.
+/// Replaces the document if the version is higher than the present one.
 struct StoreDocument {
   std::uint64_t version = 0;
   std::string text;
@@ -33,9 +33,9 @@
     archive(version, text);
   }
 };
-/// Adds a worker or replaces what is known of it. A worker that leaves stays leaving, and one that
-/// was forgotten is not added again. Any other worker at its endpoint, and any earlier life of it,
-/// is forgotten; an earlier life than the one held is not added.
+/// Adds a worker or replaces its record. A leaving worker stays leaving, and a forgotten one is not
+/// added again. Any other worker at its endpoint and any earlier incarnation of it are forgotten;
+/// an incarnation earlier than the present one is not added.
 struct StoreWorker {
   WorkerRecord worker;
   template <class Archive>
@@ -43,6 +43,7 @@
     archive(worker);
   }
 };
+/// Removes a worker for good.
 struct ForgetWorker {
   WorkerId worker;
   template <class Archive>
@@ -50,7 +51,8 @@
     archive(worker);
   }
 };
-/// What a worker holds, as its leader last knew it: where a later leader and gateways begin.
+/// Stores the models that a worker holds, as last known to the leader. A later leader and gateways
+/// start from them.
 struct StoreHoldings {
   WorkerId worker;
   std::vector<HeldModel> models;
@@ -59,7 +61,7 @@
     archive(worker, models);
   }
 };
-/// The server that sends orders to workers from now on.
+/// Makes a server the holder of the order lease: it sends orders to workers from now on.
 struct StoreOrderHolder {
   base::ServerId server;
   template <class Archive>
@@ -67,21 +69,21 @@
     archive(server);
   }
 };
-/// A leader is about to order workers, and does so at once when this is applied or not at all: a
-/// later leader knows by it which workers have been ordered lately. One entry for the orders of a
-/// plan.
+/// Announces that a leader is about to order workers; it sends the orders as soon as this is
+/// applied, or never. It tells a later leader which workers were ordered recently. There is one
+/// entry for all orders of a plan.
 struct StoreOrderedWorkers {
   base::ServerId server;
   std::uint64_t term = 0;
-  std::uint64_t batch = 0;  ///< Of that leadership.
+  std::uint64_t batch = 0;  ///< Number of the batch within that leadership.
   std::vector<WorkerId> workers;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(server, term, batch, workers);
   }
 };
-/// A worker has ended with these requests, none of which it had answered a part of: see
-/// CrashLedger::add.
+/// Records that a worker crashed with these requests, none of which it had answered even in part:
+/// see CrashLedger::add.
 struct StoreCrash {
   WorkerId worker;
   std::vector<RequestDigest> begun;
@@ -91,7 +93,7 @@
     archive(worker, begun, queued);
   }
 };
-/// A worker that was taken for ended has been heard again.
+/// Takes back the crash of a worker that was assumed to have ended and has made contact since.
 struct RetractCrash {
   WorkerId worker;
   template <class Archive>
@@ -99,7 +101,7 @@
     archive(worker);
   }
 };
-/// Requests that were answered, or (`aged`) whose crashes were long ago: see CrashLedger.
+/// Releases requests that were answered, or (`aged`) whose crashes were long ago: see CrashLedger.
 struct ReleaseSuspects {
   std::vector<RequestDigest> requests;
   bool aged = false;
@@ -108,7 +110,7 @@
     archive(requests, aged);
   }
 };
-/// Every server of the cell knows what this level brings: see feature_level.h.
+/// Raises the feature level of the cell, once every server supports it: see feature_level.h.
 struct RaiseFeatureLevel {
   std::uint32_t level = 0;
   template <class Archive>
@@ -116,7 +118,8 @@
     archive(level);
   }
 };
-/// Takes effect only if the zone has not been changed since `basedOn` changes of it.
+/// Begins or ends the evacuation of a zone. Takes effect only if the revision of the zone is still
+/// `basedOn`.
 struct StoreZoneEvacuation {
   base::ZoneId zone;
   bool evacuated = true;
@@ -132,14 +135,15 @@
                              StoreHoldings, StoreOrderedWorkers, StoreCrash, RetractCrash,
                              ReleaseSuspects, RaiseFeatureLevel, StoreZoneEvacuation>;
 
-/// Which requests crash their workers; replicated, so that no change of leader forgets it.
+/// Evidence of which requests crash workers; replicated, so that it survives a change of leader.
 using RequestCrashLedger = control::CrashLedger<RequestDigest, WorkerId>;
 
 std::string encodeCommand(const Command& command);
 base::Result<Command> decodeCommand(std::string_view bytes);
 
-/// Applies commands in the order of the log; equal on all servers. Each command takes time in
-/// proportion to what it changes, not to what is held.
+/// Replicated state machine of the registry. It applies commands in log order and is therefore
+/// equal on all servers. Each command takes time in proportion to what it changes, not to the size
+/// of the state.
 class CellState {
  public:
   using Workers = std::map<WorkerId, WorkerRecord>;
@@ -147,35 +151,35 @@
   void apply(const Command& command);
 
   std::uint64_t documentVersion() const { return documentVersion_; }
-  /// The document as it was declared.
+  /// Text of the document as it was declared.
   const std::string& documentText() const { return documentText_; }
   const Workers& workers() const { return workers_; }
   const WorkerRecord* findWorker(const WorkerId& id) const;
-  /// @return the life of the worker of that name that is there, or nullptr.
+  /// @return the present incarnation of the worker of that name, or nullptr.
   const WorkerRecord* findLife(const std::string& name) const;
-  /// @return true if the worker was there once and has been forgotten.
+  /// @return true if the worker was registered and has been forgotten since.
   bool wasForgotten(const WorkerId& id) const;
   /// @return the workers at that endpoint.
   const std::set<WorkerId>& workersAt(const base::Endpoint& endpoint) const;
-  /// @return how often a worker was added, changed or forgotten; grows.
+  /// @return how often a worker was added, changed or forgotten; increases monotonically.
   std::uint64_t workerChanges() const { return firstChange_ + changes_.size(); }
-  /// @param count as `workerChanges` told it then.
+  /// @param count an earlier value of `workerChanges`.
   /// @return the workers that were added, changed or forgotten since, some more than once; nothing
-  /// if it was too long ago to tell.
+  /// if the record of changes does not reach back that far.
   std::optional<std::vector<WorkerId>> changedSince(std::uint64_t count) const;
   base::ServerId orderHolder() const { return orderHolder_; }
-  /// @return what the worker held when it was last stored; nullptr if it never was.
+  /// @return the worker's holdings as last stored; nullptr if there are none.
   const std::vector<HeldModel>* findHoldings(const WorkerId& id) const;
 
   /// @return the server that ordered the worker last; zero if none did.
   base::ServerId lastOrderedBy(const WorkerId& id) const;
   const RequestCrashLedger& requestCrashes() const { return requestCrashes_; }
   std::uint32_t featureLevel() const { return featureLevel_; }
-  /// @return true if nothing new is to be sent to the workers of that zone.
+  /// @return true if no new requests may be sent to the workers of that zone.
   bool evacuated(const base::ZoneId& zone) const;
-  /// @return how often the zone's evacuation has begun or ended.
+  /// @return how often an evacuation of the zone has begun or ended.
   std::uint64_t zoneRevision(const base::ZoneId& zone) const;
-  /// @return the sum of that over all zones.
+  /// @return the sum of the revisions of all zones.
   std::uint64_t zoneChanges() const { return zoneChanges_; }
 
   /// @name Contents of a snapshot
@@ -194,15 +198,15 @@
  private:
   struct ZoneState {
     bool evacuated = false;
-    std::uint64_t revision = 0;  ///< Changes of it so far.
+    std::uint64_t revision = 0;  ///< Number of changes so far.
     template <class Archive>
     void serialize(Archive& archive) {
       archive(evacuated, revision);
     }
   };
 
-  /// What only some states have stands at the end, if at all: so a state without it is read as
-  /// well, and costs no bytes.
+  /// Serializes the optional fields. They stand at the end and are omitted if empty, so that
+  /// snapshots without them stay readable and take no more bytes.
   template <class Archive>
   void serializeRest(Archive& archive);
 
@@ -218,17 +222,17 @@
   std::uint64_t documentVersion_ = 0;
   std::string documentText_;
   Workers workers_;
-  std::map<WorkerId, std::vector<HeldModel>> holdings_;  ///< Of workers that are there.
+  std::map<WorkerId, std::vector<HeldModel>> holdings_;  ///< Holdings of registered workers.
   std::deque<WorkerId> forgotten_;                       ///< Oldest first, bounded.
   base::ServerId orderHolder_;
-  std::map<WorkerId, base::ServerId> lastOrderedBy_;  ///< Of workers that are there.
+  std::map<WorkerId, base::ServerId> lastOrderedBy_;  ///< Registered workers only.
   RequestCrashLedger requestCrashes_;
   std::uint32_t featureLevel_ = 0;
-  std::map<base::ZoneId, ZoneState> zones_;  ///< That were evacuated once.
+  std::map<base::ZoneId, ZoneState> zones_;  ///< Zones that have ever been evacuated.
   std::uint64_t zoneChanges_ = 0;
 
-  // Not in a snapshot: follows from the above.
-  std::map<std::string, std::set<WorkerId>> idsByName_;  ///< Of workers that are there.
+  // Derived from the above, therefore not in a snapshot.
+  std::map<std::string, std::set<WorkerId>> idsByName_;  ///< Registered workers only.
   std::map<base::Endpoint, std::set<WorkerId>> idsByEndpoint_;
   std::set<WorkerId> forgottenIds_;
   std::deque<WorkerId> changes_;  ///< Oldest first, bounded.
--- a/src/registry/crash_monitor.cpp
+++ b/src/registry/crash_monitor.cpp
@@ -9,32 +9,34 @@
 
 using runtime::LogEvent;
 
-/// A heartbeat that was under way when its worker ended comes no later than this after the cut is
-/// told of: a link takes some ms.
+/// Latest arrival, after the cut, of a heartbeat that was in flight when its worker ended: a link
+/// takes some ms.
 constexpr base::Duration kUnderWay = std::chrono::milliseconds(100);
-/// An entry of the log is applied within some ms; it is proposed again if it was lost.
+/// Time after which a lost log entry is proposed again; entries are applied within some ms.
 constexpr base::Duration kProposeAgain = std::chrono::seconds(1);
-/// Longer than it takes until a worker's next heartbeat is overdue.
+/// Time for which gateways hold a request; longer than until a worker's heartbeat is overdue.
 constexpr base::Duration kHeldFor = std::chrono::seconds(2);
-/// A request at the limit of crashes is held for so long after the last one before it is refused,
-/// if there are other suspects: they come again meanwhile, and what they crash clears or confirms
-/// it. Longer than a worker's heartbeat is overdue, shorter than gateways hold a request.
+/// Time for which a request that has reached the crash limit is held after its last crash, before
+/// it is quarantined, if there are other suspects. These are retried meanwhile, and the crashes
+/// they cause clear or confirm it. Longer than until a worker's heartbeat is overdue, shorter than
+/// gateways hold a request.
 constexpr base::Duration kSettleFor = std::chrono::milliseconds(1800);
-/// Suspects below the limit run in turns of this length, half of them in each: those that come
-/// again together would be cut together again, and could not be told apart. As long as most
-/// requests stay at a worker, and no longer than gateways hold one.
+/// Length of the time slices in which suspects below the limit run, half of them in each: suspects
+/// that are retried together would be cut together again and could not be told apart. As long as
+/// most requests stay at a worker, and no longer than gateways hold a request.
 constexpr base::Duration kTurn = std::chrono::seconds(2);
-/// After its last crash: callers are back by then. It bounds what gateways are told.
+/// Time after a request's last crash in which it is confined to time slices; callers have retried
+/// by then. It bounds the updates to gateways.
 constexpr base::Duration kTurnsLast = std::chrono::seconds(10);
-/// How often suspects are judged again as time passes.
+/// Interval in which suspects are classified again as time passes.
 constexpr base::Duration kJudgeInterval = std::chrono::milliseconds(250);
-/// @name Bounds, for what gateways tell
+/// @name Bounds of the data that gateways report
 /// @{
 constexpr std::size_t kMostPending = 256;
 constexpr std::size_t kMostRequestsOfOne = 256;
 /// @}
 
-/// @return true if that suspect runs in the present turn; drawn anew for each turn.
+/// @return true if the suspect may run in the present time slice; drawn anew for each slice.
 bool hasTurn(const RequestDigest& request, base::TimePoint now) {
   const auto turn = static_cast<std::size_t>(now.time_since_epoch() / kTurn);
   return request.bytes.at(turn % request.bytes.size()) % 2 == 0;
@@ -183,7 +185,7 @@
   commands_.emplace_back(std::move(crash));
 }
 
-/// @return who would be guilty if all that is pending were crashes.
+/// @return the requests that would be classified as causes if all pending crashes were confirmed.
 std::set<RequestDigest> CrashMonitor::expectedGuilty() const {
   const RequestCrashLedger& known = state_.requestCrashes();
   const bool close =
@@ -243,7 +245,7 @@
   });
 }
 
-/// @return true if the verdict on a guilty request waits for nothing more.
+/// @return true if a request classified as a cause may be quarantined without further delay.
 bool CrashMonitor::settled(const RequestDigest& request,
                            const RequestCrashLedger::Evidence& evidence,
                            base::TimePoint now) const {
@@ -300,7 +302,7 @@
   std::vector<RequestDigest> old;
   for (auto& [request, evidence] : evidenceAt_) {
     if (now >= evidence.second + kEvidenceLasts) {
-      evidence.second = now;  // Proposed once; again only after another such time.
+      evidence.second = now;  // Proposes it once, and again only after another such period.
       old.push_back(request);
     }
   }
--- a/src/registry/crash_monitor.h
+++ b/src/registry/crash_monitor.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Finds the requests that crash their workers, from what gateways tell of cut requests and from
-/// which workers ended.
+/// Identifies requests that crash workers, from the requests that gateways report as cut and the
+/// workers that ended.
 
 #include <functional>
 #include <map>
@@ -17,54 +17,54 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader. A cut request is evidence only once its worker is known to have ended: a
-/// full worker resets connections, and a network loses them. Until then it is pending. A worker
-/// that is heard after the cut has not ended; one that is replaced by another incarnation, or
-/// whose next heartbeat is overdue, has. Evidence goes into the replicated state (CrashLedger), and
-/// is taken back if the worker is heard all the same.
+/// Detector of requests that crash workers; used by the leader. A cut request is evidence only once
+/// its worker is known to have ended, as full workers reset connections and networks lose them;
+/// until then the crash is pending. A worker that makes contact after the cut has not ended; one
+/// that was replaced by another incarnation, or whose next heartbeat is overdue, has. Evidence is
+/// stored in the replicated state (CrashLedger) and retracted if the worker makes contact later.
 ///
-/// Standings: none -> suspected (one crash below the limit, and its turn to run) <-> held
-/// (another's turn; or the next crash is pending, or new) -> quarantined (at the limit) ->
-/// suspected, after `kEvidenceLasts`; or none, once it is answered.
+/// Standings of a request: none -> suspected (one crash below the limit, and in its time slice) <->
+/// held (outside its time slice, or while the next crash is pending or new) -> quarantined (at the
+/// limit) -> suspected, after `kEvidenceLasts`; or none, once the request is answered.
 class CrashMonitor {
  public:
-  /// What this leader heard of a worker.
+  /// Contact of this leader with a worker.
   struct Signs {
-    std::optional<base::TimePoint> heardAt;  ///< Its own word; nothing: none yet.
-    base::TimePoint silentSince;             ///< While it could have been heard.
+    std::optional<base::TimePoint> heardAt;  ///< Last heartbeat; nothing: none yet.
+    base::TimePoint silentSince;             ///< Counts only time in which contact was possible.
   };
   using SignsOf = std::function<Signs(const WorkerId&)>;
 
   CrashMonitor(const CellState& state, runtime::EventLog& log) : state_(state), log_(log) {}
 
   void report(const CutReport& report, base::TimePoint now);
-  /// A heartbeat of the worker came.
+  /// Records a heartbeat of the worker; retracts its crash if one was recorded.
   void heard(const WorkerId& worker);
-  /// The replicated state may have changed.
+  /// To be called when the replicated state may have changed.
   void stateChanged() { dirty_ = true; }
-  /// Decides what can be decided now.
-  /// @param overdueAfter a worker that was not heard for so long after a cut has ended.
+  /// Confirms or denies pending crashes and updates the standings of requests.
+  /// @param overdueAfter time without contact after which a worker counts as ended.
   void review(base::TimePoint now, base::Duration overdueAfter, const SignsOf& signsOf);
 
   std::vector<Command> takeCommands() { return std::exchange(commands_, {}); }
-  /// @return true if the list has changed since the last call.
+  /// @return true if `list` has changed since the last call.
   bool takeChanged() { return std::exchange(changed_, false); }
   SuspectList list(base::TimePoint now) const;
 
-  /// Evidence is kept so long. What crashes its workers does so until they run other software: in
-  /// this time it costs one worker. Callers come back for seconds or minutes.
+  /// Retention period of evidence. A request that crashes workers does so until they run other
+  /// software, and costs one worker per period. Callers retry for seconds or minutes.
   static constexpr base::Duration kEvidenceLasts = std::chrono::minutes(10);
 
  private:
   struct PendingCrash {
-    base::TimePoint cutAt;                   ///< The first of its requests.
-    std::map<RequestDigest, bool> requests;  ///< Whether each had begun.
+    base::TimePoint cutAt;                   ///< When the first of its requests was cut.
+    std::map<RequestDigest, bool> requests;  ///< Maps to true if the request had begun.
     std::optional<base::TimePoint> proposedAt;
   };
   struct Suspect {
     RequestStanding standing = RequestStanding::suspected;
     std::uint32_t crashes = 0;
-    base::TimePoint since;  ///< Of the latest change of either.
+    base::TimePoint since;  ///< Time of the last change of standing or crashes.
   };
 
   void decide(const WorkerId& worker, PendingCrash& pending, base::TimePoint now,
@@ -91,7 +91,7 @@
   runtime::EventLog& log_;
   std::map<WorkerId, PendingCrash> pending_;
   std::map<RequestDigest, Suspect> suspects_;
-  /// When each request's evidence was last added to, as seen by this leader.
+  /// Last crash of each request's evidence, and when this leader first saw it.
   std::map<RequestDigest, std::pair<std::uint64_t, base::TimePoint>> evidenceAt_;
   std::set<WorkerId> retracting_;
   base::TimePoint judgedAt_;
--- a/src/registry/document_cache.cpp
+++ b/src/registry/document_cache.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// As many changes as an operator may have under way at once, halved: each of thousands of routes
-/// takes a megabyte or more.
+/// Half the number of changes that an operator may have in progress at once: a document of
+/// thousands of routes takes a megabyte or more.
 constexpr std::size_t kMostEntries = 4;
 
 }  // namespace
--- a/src/registry/document_cache.h
+++ b/src/registry/document_cache.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Documents that were read lately. Reading takes long (48 ms of a core for 4,200 routes), and the
-/// same text comes again: as a call that is repeated, then as the entry of the log.
+/// Cache of recently parsed documents. Parsing is slow (48 ms of a core for 4,200 routes), and the
+/// same text arrives repeatedly: as a repeated call, then as a log entry.
 
 #include <deque>
 #include <memory>
@@ -11,15 +11,16 @@
 
 namespace walnut::registry {
 
+/// Least-recently-used cache of parsed documents, keyed by a hash of their text.
 class DocumentCache {
  public:
   explicit DocumentCache(const DocumentReader& reader) : reader_(reader) {}
 
-  /// @return the document of that text, not validated, or the reader's error.
+  /// @return the document parsed from the text, not validated, or the reader's error.
   base::Result<std::shared_ptr<const catalog::Document>> read(const std::string& text);
 
  private:
-  /// What tells one text from another: size and XXH3 of 128 bits.
+  /// Identity of a text: its size and 128-bit XXH3 hash.
   struct Key {
     std::size_t size = 0;
     std::uint64_t low = 0;
@@ -33,7 +34,7 @@
   static Key keyOf(const std::string& text);
 
   const DocumentReader& reader_;
-  std::deque<Entry> entries_;  ///< The one used last is in front.
+  std::deque<Entry> entries_;  ///< Most recently used first.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/document_confirmer.h
+++ b/src/registry/document_confirmer.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Collects the questions of gateways which document is the newest, so that many of them are
-/// answered by one confirmation of the cell.
+/// Batches the queries of gateways for the newest document version, so that one linearizable read
+/// of the cell answers many of them.
 
 #include <cstdint>
 #include <utility>
@@ -12,12 +12,13 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader. A question is answered by a round that began after it came: whoever led in
-/// between, what it acknowledged before the question is known by then.
+/// Batcher of document version queries; used by the leader. A query is answered by a read round
+/// that began after its arrival, so the answer covers all that any leader acknowledged before the
+/// query.
 class DocumentConfirmer {
  public:
-  /// Least time between two rounds. Each is a message to every other server: at 20 a second they
-  /// are as many as twice the heartbeats, however many gateways ask.
+  /// Least time between two rounds. A round takes one message to every other server; at 20 rounds a
+  /// second that is twice the number of heartbeats, however many gateways send queries.
   static constexpr base::Duration kRoundSpacing = std::chrono::milliseconds(50);
 
   struct Question {
@@ -29,15 +30,16 @@
     waiting_.push_back({gateway, question.sequence});
   }
 
-  /// @return true if a round should begin.
+  /// @return true if a round should begin now.
   bool roundDue(base::TimePoint now) const {
     return !confirming_ && !waiting_.empty() && now >= nextRound_;
   }
-  /// @return when `roundDue` becomes true by the passing of time.
+  /// @return when `roundDue` becomes true without further queries.
   base::TimePoint nextRound() const {
     return confirming_ || waiting_.empty() ? base::kNever : nextRound_;
   }
-  /// @param token of the read that confirms all that was asked so far.
+  /// Begins a round that answers all queries received so far.
+  /// @param token token of the linearizable read.
   void begin(std::uint64_t token, base::TimePoint now) {
     token_ = token;
     confirming_ = true;
@@ -47,7 +49,7 @@
 
   bool confirming() const { return confirming_; }
   std::uint64_t token() const { return token_; }
-  /// The read is confirmed. @return the questions that it answers.
+  /// Ends the round, whose read is confirmed. @return the queries that it answers.
   std::vector<Question> takeConfirmed() {
     confirming_ = false;
     return std::exchange(inRound_, {});
--- a/src/registry/document_sender.cpp
+++ b/src/registry/document_sender.cpp
@@ -11,19 +11,20 @@
 
 namespace {
 
-/// At 10 Mbit/s, the slowest link in use, a part takes 26 ms: views are not late behind it.
+/// Size of a part. At 10 Mbit/s, the slowest link in use, it takes 26 ms, so that view updates are
+/// not delayed behind it.
 constexpr std::size_t kPartBytes = 32U << 10U;
-/// Under way to one gateway: while one part crosses the link the next is on its way.
+/// Most bytes in flight to one gateway: two parts keep the link busy while one is acknowledged.
 constexpr std::size_t kWindowBytes = 2 * kPartBytes;
-/// @name Bytes at a time, and the time between: 26 MB a second. At 10 us of a core a kilobyte
-/// (docs/incidents, figures of the leader) that takes less than half of 0.6 cores and leaves the
-/// loop to consensus every few milliseconds. A part counts as this many bytes at least.
+/// @name Rate limit: bytes per time slice, time between slices, least bytes that a part counts as.
+/// The limit is 26 MB/s. At 10 us of a core per kilobyte (docs/incidents, figures of the leader)
+/// that takes less than half of 0.6 cores, and leaves the event loop to consensus every few ms.
 /// @{
 constexpr std::size_t kMostTurnBytes = 8 * kPartBytes;
 constexpr base::Duration kPartsSpacing = std::chrono::milliseconds(10);
 constexpr std::size_t kLeastPartBytes = 4U << 10U;
 /// @}
-/// Changes that a gateway may have missed and is still sent by delta.
+/// Most changes that a gateway may have missed and still be sent a delta.
 constexpr std::size_t kFormerDocuments = 4;
 
 }  // namespace
--- a/src/registry/document_sender.h
+++ b/src/registry/document_sender.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Brings gateways the newest document, in parts, a bounded number at a time.
+/// Transfers the newest document to gateways, in parts and at a bounded rate.
 
 #include <deque>
 #include <map>
@@ -16,18 +16,19 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader. Invariants: a document is encoded once, however many gateways take it; at
-/// most a window of bytes is under way to a gateway; a transfer that has begun is finished before a
-/// newer document is sent, so that changes in quick succession can't starve a gateway.
+/// Sender of the newest document to all gateways; used by the leader. Invariants: a document is
+/// encoded once, however many gateways receive it; at most one window of bytes is in flight to a
+/// gateway; a transfer is finished before a newer document is sent, so that changes in quick
+/// succession can't starve a gateway.
 class DocumentSender {
  public:
   DocumentSender();
 
-  /// @param cursor what the gateway has of a newer document, from this or another server.
+  /// @param cursor what the gateway has received of a newer document, from this or another server.
   void subscribe(protocol::ConnectionId gateway, std::uint64_t heldVersion,
                  const DocumentCursor& cursor);
   void unsubscribe(protocol::ConnectionId gateway) { gateways_.erase(gateway); }
-  /// The document in force.
+  /// Sets the current document.
   void setDocument(std::shared_ptr<const catalog::Document> document);
   void partTaken(protocol::ConnectionId gateway, const DocumentCursor& cursor);
 
@@ -35,16 +36,16 @@
     protocol::ConnectionId gateway;
     DocumentPart part;
   };
-  /// @return what to send now; a few parts at a time.
+  /// @return the parts to send now; their number is bounded.
   std::vector<Part> takeParts(base::TimePoint now);
-  /// @return when `takeParts` has something, unless a call comes before.
+  /// @return when `takeParts` next returns parts, if nothing else happens before.
   base::TimePoint nextParts() const;
 
-  /// @return true once all gateways hold the document, after each change of it.
+  /// @return true once per document, when all gateways hold it.
   bool takeDelivered();
 
  private:
-  /// A document, or the delta to it, as it goes over the wire.
+  /// A document, or the delta to it, in its encoding on the wire.
   struct Encoded {
     std::uint64_t version = 0;
     std::uint64_t baseVersion = 0;
@@ -53,11 +54,11 @@
   };
   struct Gateway {
     std::uint64_t heldVersion = 0;
-    DocumentCursor cursor;                   ///< To go on from, until the first transfer.
-    std::shared_ptr<const Encoded> content;  ///< Under way; null: nothing is.
-    std::uint64_t sent = 0;                  ///< Bytes of `content`.
-    std::uint64_t taken = 0;
-    bool queued = false;  ///< In `ready_`.
+    DocumentCursor cursor;                   ///< Where the first transfer resumes.
+    std::shared_ptr<const Encoded> content;  ///< Content in transfer; null: none.
+    std::uint64_t sent = 0;                  ///< Bytes of `content` sent.
+    std::uint64_t taken = 0;                 ///< Bytes of `content` acknowledged.
+    bool queued = false;                     ///< True if the gateway is in `ready_`.
   };
 
   static std::shared_ptr<const Encoded> encode(std::uint64_t version, std::uint64_t baseVersion,
@@ -71,12 +72,12 @@
   static DocumentPart nextPart(Gateway& gateway);
 
   std::shared_ptr<const catalog::Document> document_;
-  /// Former documents, the newest in front: gateways that hold one are sent the delta.
+  /// Previous documents, newest first: a gateway that holds one of them is sent a delta.
   std::deque<std::shared_ptr<const catalog::Document>> former_;
-  std::shared_ptr<const Encoded> whole_;  ///< Of `document_`, if needed.
+  std::shared_ptr<const Encoded> whole_;  ///< The whole `document_`; null until it is needed.
   std::map<std::uint64_t, std::shared_ptr<const Encoded>> contents_;  ///< By held version.
   std::map<protocol::ConnectionId, Gateway> gateways_;
-  std::deque<protocol::ConnectionId> ready_;  ///< Gateways that may be sent a part, in turn.
+  std::deque<protocol::ConnectionId> ready_;  ///< Gateways to be sent a part, round robin.
   TurnLimit turnBytes_;
   bool deliveryReported_ = true;
 };
--- a/src/registry/heartbeat_relay.cpp
+++ b/src/registry/heartbeat_relay.cpp
@@ -19,7 +19,7 @@
   Worker& worker = workers_[held->id];
   const std::uint64_t hash = hashOf(heartbeat);
   if (heartbeat.sequence < worker.latest.sequence) {
-    return true;  // An earlier one that comes late says nothing new.
+    return true;  // An earlier heartbeat that arrives late has no new information.
   }
   const bool same = worker.toldInFull && worker.hash == hash;
   worker.latest = heartbeat;
@@ -34,7 +34,7 @@
   return true;
 }
 
-/// Workers that were forgotten never come back under their id.
+/// Drops the workers that were forgotten: they never return under the same id.
 void HeartbeatRelay::forgetEnded(const CellState& state) {
   const auto touched = state.changedSince(workerChanges_);
   workerChanges_ = state.workerChanges();
@@ -63,7 +63,7 @@
 void HeartbeatRelay::leaderChanged() {
   heard_.clear();
   changed_.clear();
-  // Those that don't call here any more are told of by another server.
+  // Workers that no longer send heartbeats here are reported by another server.
   workers_.clear();
 }
 
--- a/src/registry/heartbeat_relay.h
+++ b/src/registry/heartbeat_relay.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Heartbeats that a server which doesn't lead takes for the leader.
+/// Acknowledgement of heartbeats by servers that don't lead, on behalf of the leader.
 
 #include <map>
 #include <optional>
@@ -13,35 +13,36 @@
 
 namespace walnut::registry {
 
-/// Acknowledges heartbeats by which nothing replicated changes, and tells the leader of them in
-/// batches: what a worker holds only when that is new to the leader, else that it was heard. So the
-/// leader's work grows with what changes, and the reading of heartbeats is shared by all servers.
+/// Relay that acknowledges heartbeats which change no replicated state and reports them to the
+/// leader in batches: in full if the worker's holdings are new to the leader, else as contact only.
+/// So the leader's work grows with the number of changes, and all servers share the parsing of
+/// heartbeats.
 ///
-/// Invariant: a heartbeat is taken only if the worker's record is committed as the heartbeat says.
-/// The owner sees to it that this server hears the leader: what it takes while it doesn't would be
-/// acknowledged, and its worker held to be silent.
+/// Invariant: a heartbeat is taken only if it matches the committed record of its worker. The owner
+/// must ensure that this server has contact with the leader: a heartbeat taken without it would be
+/// acknowledged while the leader considers the worker unresponsive.
 class HeartbeatRelay {
  public:
-  /// @return true if the heartbeat is taken; else the leader has to decide on it.
+  /// @return true if the heartbeat was taken; otherwise the leader has to decide on it.
   bool take(const Heartbeat& heartbeat, const CellState& state);
-  /// Another leader is followed, who knows nothing of what was sent before.
+  /// Drops all state, as a new leader knows nothing of what was sent to the previous one.
   void leaderChanged();
-  /// The leader doesn't know what these hold.
+  /// Schedules full heartbeats of workers whose holdings the leader does not know.
   void wanted(const HeartbeatsWanted& wanted);
 
-  /// @return what to tell the leader now, if anything.
+  /// @return the batch to send to the leader now, if one is due.
   std::optional<HeartbeatBatch> takeBatch(base::TimePoint now);
-  /// @return when `takeBatch` has something; kNever: not without another heartbeat.
+  /// @return when the next batch is due; kNever: not before another heartbeat.
   base::TimePoint nextBatch() const;
-  /// @return how many workers called here lately.
+  /// @return the number of workers that recently sent heartbeats to this server.
   std::size_t workerCount() const { return workers_.size(); }
 
-  /// @name Between two batches: if some worker said something new, and else
+  /// @name Time between two batches: if some heartbeat has changes, and if none has
   /// @{
   static constexpr base::Duration kChangeSpacing = std::chrono::milliseconds(10);
   static constexpr base::Duration kBatchInterval = std::chrono::milliseconds(100);
   /// @}
-  /// Heartbeats in full in one batch, at most: some ms of the leader's time.
+  /// Most full heartbeats in one batch: some ms of the leader's time.
   static constexpr std::size_t kMostChanged = 64;
 
  private:
@@ -54,10 +55,10 @@
   void forgetEnded(const CellState& state);
 
   std::map<WorkerId, Worker> workers_;
-  std::set<WorkerId> changed_;  ///< To be told in full.
-  std::set<WorkerId> heard_;    ///< To be told of; none is in `changed_`.
+  std::set<WorkerId> changed_;  ///< Workers to be reported in full.
+  std::set<WorkerId> heard_;    ///< Workers to be reported as contact; none is in `changed_`.
   base::TimePoint lastBatchAt_;
-  std::uint64_t workerChanges_ = 0;  ///< Of the state, as taken.
+  std::uint64_t workerChanges_ = 0;  ///< Count of CellState's worker changes, as last processed.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/leader_beliefs.cpp
+++ b/src/registry/leader_beliefs.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// The part of a leader's duties that decides what it believes of workers: which are alive, which
-/// fail what they are sent though they say that they are well, and which ended under what; and of
-/// models that come late.
+/// The leader's assessment of workers: which are alive, which report healthy but fail requests, and
+/// which crashed under which requests. Also reports models that will be available late.
 
 #include <algorithm>
 #include <cmath>
@@ -15,11 +14,13 @@
 
 using runtime::LogEvent;
 
-/// Heartbeats for which a worker counts as alive after its last one: it may be late by a half.
+/// Time after its last heartbeat for which a worker counts as alive, in heartbeat intervals: a
+/// heartbeat may be late by half an interval.
 constexpr double kAliveHeartbeats = 1.5;
-/// Several checks late: the process stood still, or its machine was suspended.
+/// Time between two checks from which the process is taken to have been suspended; several check
+/// intervals long.
 constexpr base::Duration kHeldUp = std::chrono::milliseconds(300);
-/// Bound for what nobody takes out: callers that were heard once.
+/// Bound of `contests_`: callers that sent a single heartbeat are never removed one by one.
 constexpr std::size_t kMostContests = 1024;
 
 std::uint64_t percent(double share) {
@@ -34,8 +35,8 @@
 
 }  // namespace
 
-/// What another writer sends must not move a worker out of its service. One whose service has been
-/// dropped from the document stays what it is.
+/// Rejects heartbeats that name an unknown service, so that a foreign sender can't move a worker
+/// out of its service. A worker whose service was removed from the document keeps that service.
 bool LeaderDuties::namesUnknownService(const Heartbeat& heartbeat) const {
   if (document_ == nullptr || document_->findService(heartbeat.worker.service) != nullptr) {
     return false;
@@ -49,8 +50,8 @@
   return true;
 }
 
-/// A heartbeat of a life that has ended changes nothing. Clocks of workers may be set back: if the
-/// life that is held has gone silent all the same, it is forgotten, and the next heartbeat counts.
+/// A heartbeat of a previous incarnation changes nothing. As the clock of a worker may be set back,
+/// the registered incarnation is forgotten if it is unresponsive; the next heartbeat is accepted.
 bool LeaderDuties::isOfFormerLife(const Heartbeat& heartbeat, base::TimePoint now) {
   const WorkerRecord* present = state_.findLife(heartbeat.worker.calledName());
   if (present == nullptr || !present->succeeds(heartbeat.worker)) {
@@ -68,10 +69,10 @@
   return true;
 }
 
-/// A heartbeat that a cut held up may arrive after its sender has crashed and another incarnation
-/// has registered at its endpoint; taken at its word it would end the present one for good. An
-/// unknown worker replaces one that is alive only once it has called again, or if it is known to be
-/// a later life of it.
+/// A heartbeat delayed by a network partition may arrive after its sender crashed and another
+/// incarnation registered at the same endpoint; accepting it would remove the present incarnation
+/// for good. An unknown worker replaces a live one only after a second heartbeat, or if it is known
+/// to be a later incarnation of the same worker.
 bool LeaderDuties::contestsALiveWorker(const Heartbeat& heartbeat, base::TimePoint now) {
   const WorkerId& id = heartbeat.worker.id;
   if (state_.findWorker(id) != nullptr) {
@@ -96,8 +97,8 @@
   return first || heartbeat.sequence <= former->second;
 }
 
-/// What workers said while this process stood still waits to be read, or is lost: their silence
-/// counts from the end of that.
+/// Heartbeats that came while this process was suspended are still unread or lost, so silence is
+/// counted from the end of the suspension.
 void LeaderDuties::noteHeldUp(base::TimePoint now) {
   if (now - std::exchange(lastCheck_, now) > kHeldUp) {
     hearingSince_ = now;
@@ -132,7 +133,7 @@
   }
 }
 
-/// Without a list before its first view a gateway takes it that there are no suspects.
+/// A gateway that gets no list before its first view assumes that there are no suspects.
 void LeaderDuties::sendSuspectsTo(protocol::ConnectionId gateway, base::TimePoint now) {
   SuspectList list = crashes_.list(now);
   if (!list.requests.empty()) {
@@ -151,7 +152,7 @@
   silenceChecks_.emplace(at, id);
 }
 
-/// Only workers whose heartbeat is overdue are looked at.
+/// Checks only the workers whose heartbeat is overdue.
 void LeaderDuties::noteSilence(base::TimePoint now) {
   while (!silenceChecks_.empty() && silenceChecks_.begin()->first <= now) {
     const auto [due, id] = *silenceChecks_.begin();
@@ -178,7 +179,7 @@
     log_.write(LogEvent::workerSilent, {{"worker", id.value}});
   }
   if (silence > options_.workerForgottenAfter) {
-    status.lastHeard = now;  // Proposed once; again only after another such time.
+    status.lastHeard = now;  // Proposes it once, and again only after another such period.
     commands_.emplace_back(ForgetWorker{id});
   }
   const base::TimePoint forgottenAt = lastHeard(status) + options_.workerForgottenAfter;
@@ -240,7 +241,7 @@
   return late;
 }
 
-/// What a gateway was told by a former leader ends by itself.
+/// An empty list need not be sent: what a previous leader sent expires at the gateway.
 void LeaderDuties::sendLateModelsTo(protocol::ConnectionId gateway) {
   LateModels late = lateModels();
   if (!late.models.empty()) {
--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -11,18 +11,18 @@
 
 using runtime::LogEvent;
 
-/// Least time between two stored states of one worker's holdings.
+/// Least time between two log entries with the holdings of one worker.
 constexpr base::Duration kHoldingsInterval = std::chrono::milliseconds(500);
-/// Of a rate that a leader has heard of since it began: with less it is not known yet.
+/// Least share of its final value that a decaying rate has reached; below it the rate is unknown.
 constexpr double kLeastKnown = 0.1;
-/// @name Workers in one turn, at most: all of a large fleet are new to a leader that begins
+/// @name Most workers per time slice: a new leader has to process all workers of a large fleet
 /// @{
 constexpr std::size_t kMostHoldingsStored = 256;
 constexpr std::size_t kMostHoldingsCompared = 1024;
 constexpr std::size_t kMostViewsRefreshed = 512;
 /// @}
 constexpr base::Duration kCheckInterval = std::chrono::milliseconds(50);
-/// Of a large fleet, whose gateways hear of loads four times a second.
+/// Least age of the collected loads of a large fleet, whose gateways are sent loads 4 times/s.
 constexpr base::Duration kLoadsInterval = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -96,7 +96,7 @@
   for (const WorkerHeard& worker : batch.heard) {
     const auto found = workers_.find(worker.worker);
     if (found == workers_.end() || state_.findWorker(worker.worker) == nullptr) {
-      continue;  // It is forgotten: its next heartbeat will say so to its server.
+      continue;  // Forgotten: the server that took the heartbeat learns it with the next one.
     }
     WorkerStatus& status = found->second;
     const bool wasSilent = status.silent;
@@ -155,8 +155,8 @@
   planSoon_ = planSoon_ || !demand_.waiting().empty();
 }
 
-/// Callers may name anything: who asks is remembered only for what is held or may be loaded, so
-/// that the names of callers take no room here.
+/// Callers may request any name. Interest is recorded only for models that are loaded or may be
+/// loaded, so that invented names take no memory here.
 bool LeaderDuties::mayBeServed(const ModelDemand& demand) const {
   const std::string held = demand.adapter.empty()
                                ? demand.model
@@ -356,7 +356,7 @@
 void LeaderDuties::publish(base::TimePoint now, const std::vector<base::Endpoint>& servers) {
   refreshViews(now);
   if (!changed_.empty()) {
-    return;  // A first view without all workers would take the rest away from its gateway.
+    return;  // A first view that lacks workers would make its gateway drop them.
   }
   const std::uint64_t version = document_ == nullptr ? 0 : document_->version;
   if (!publisher_.due(now, version)) {
@@ -380,7 +380,8 @@
   }
 }
 
-/// Collecting them takes time in proportion to the busy workers, at each of many updates.
+/// Caches the loads in large fleets: collecting them takes time in proportion to the number of
+/// busy workers, for each of many updates.
 const std::vector<WorkerLoad>& LeaderDuties::recentLoads(base::TimePoint now) {
   if (publisher_.tellsAll() || now >= loadsTakenAt_ + kLoadsInterval) {
     loads_ = demand_.loads();
@@ -431,7 +432,7 @@
   workersKnown_ = workersKnown_ || changed_.empty();
 }
 
-/// To gateways a worker of an evacuated zone is one that leaves: none sends it anything new.
+/// Gateways see a worker of an evacuated zone as leaving, so that none sends it new requests.
 bool LeaderDuties::outOfService(const WorkerRecord& record) const {
   return record.leaving || state_.evacuated(record.zone);
 }
@@ -445,7 +446,7 @@
   }
 }
 
-/// Those that registered with a former leader.
+/// Marks as cold the workers that registered recently with a previous leader.
 void LeaderDuties::takeColdWorkers() {
   if (registrations_ == nullptr) {
     return;
@@ -457,8 +458,8 @@
   }
 }
 
-/// As many as send no more than the worker bears, if all that they are asked for went to it: to
-/// each gateway it looks like the one that is least busy.
+/// A new worker looks least busy to each gateway, so each may send it all its requests. The result
+/// is the number of gateways whose total rate stays within what a cold worker can take.
 std::optional<std::size_t> LeaderDuties::mostGatewaysFor(const WorkerRecord& record,
                                                          const WorkerStatus& status,
                                                          base::TimePoint now) const {
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What a server does while it leads: it hears workers and gateways, publishes the view, decides
-/// placements and has them ordered.
+/// The tasks of the leading server: it receives reports of workers and gateways, publishes the
+/// view, decides placements and sends the orders that carry them out.
 
 #include <map>
 #include <memory>
@@ -33,26 +33,26 @@
 
 namespace walnut::registry {
 
-/// Soft state of one leadership; nothing of it survives it. Holds references to the replicated
-/// state, which its owner changes and then reports by `stateChanged`.
+/// Soft state and tasks of one leadership; none of this state survives it. Holds a reference to the
+/// replicated state, which the owner changes and then reports by `stateChanged`.
 class LeaderDuties {
  public:
-  /// @param turns kept by the owner: when workers were last ordered.
-  /// @param registrations kept by the owner as well.
-  /// @param lastTurnAt when this server, while it ran, saw another server take its turn to order.
+  /// @param turns times at which workers were last ordered; maintained by the owner.
+  /// @param registrations registration times of workers; maintained by the owner; null: unknown.
+  /// @param lastTurnAt when this process last saw another server take over the order lease.
   LeaderDuties(const RegistryOptions& options, DocumentCache& documents, const CellState& state,
                consensus::Term term, base::ServerId self, runtime::EventLog& log,
                base::TimePoint now, const OrderTurns& turns,
                std::optional<base::TimePoint> lastTurnAt = std::nullopt,
                const RegistrationTimes* registrations = nullptr);
 
-  /// @return true if the replicated record must change for this heartbeat.
+  /// @return true if this heartbeat requires a change of the worker's replicated record.
   bool heartbeat(const Heartbeat& heartbeat, base::TimePoint now);
-  /// Heartbeats that another server has taken.
-  /// @return those of which this leader doesn't know enough.
+  /// Takes heartbeats that another server has acknowledged.
+  /// @return the workers whose heartbeats this leader needs in full.
   HeartbeatsWanted heartbeats(const HeartbeatBatch& batch, base::TimePoint now);
-  /// @param zone of the gateway.
-  /// @param featureLevel that it knows.
+  /// @param zone zone of the gateway.
+  /// @param featureLevel feature level that the gateway supports.
   void subscribe(protocol::ConnectionId gateway, const Subscribe& request,
                  const base::ZoneId& zone = {}, std::uint32_t featureLevel = 0);
   void unsubscribe(protocol::ConnectionId gateway);
@@ -61,23 +61,24 @@
   }
   void demand(protocol::ConnectionId gateway, const DemandUpdate& update, base::TimePoint now);
   void cutsReported(const CutReport& report, base::TimePoint now) { crashes_.report(report, now); }
-  /// Only while this server is sure to lead: another leader grants from the same quotas.
+  /// To be called only while this server holds a valid leader lease, as another leader would grant
+  /// from the same quotas.
   void quotaAsked(protocol::ConnectionId gateway, const QuotaRequest& request, base::TimePoint now);
   void limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
                       base::TimePoint now);
-  /// Only while this server is sure to lead, as with quotas.
+  /// To be called only while this server holds a valid leader lease, as with quotas.
   void sharesAsked(protocol::ConnectionId gateway, const ShareRequest& request,
                    base::TimePoint now);
   void orderFinished(const OrderFinished& finished, base::TimePoint now);
   void reportFinished(const ReportFinished& finished, base::TimePoint now);
-  /// The orders of a batch are in the log: they are sent, unless it took too long.
+  /// Sends the orders of a batch, which is committed to the log now, unless that took too long.
   void ordersRecorded(std::uint64_t batch, base::TimePoint now, bool leaseValid);
-  /// The replicated state has changed.
+  /// To be called after each change of the replicated state.
   void stateChanged(base::TimePoint now);
 
-  /// Does what is due.
-  /// @param leaseValid whether this server is sure to lead at `now`: else nothing is ordered, and
-  /// gateways are told nothing, as another server may have acknowledged something newer.
+  /// Runs all tasks that are due.
+  /// @param leaseValid whether this server certainly leads at `now`. Otherwise no orders are sent
+  /// and gateways are sent nothing, as another server may have acknowledged newer changes.
   void run(base::TimePoint now, bool leaseValid, const std::vector<base::Endpoint>& servers);
 
   std::vector<RegistryAction> takeActions() { return std::exchange(actions_, {}); }
@@ -90,7 +91,7 @@
     PlacementStep step;
     base::TimePoint sentAt;
   };
-  /// Orders that are being recorded in the log.
+  /// Orders whose log entry is not committed yet.
   struct Batch {
     std::vector<PlacementStep> steps;
     base::TimePoint plannedAt;
@@ -111,14 +112,14 @@
   void reviewCrashes(base::TimePoint now);
   void sendSuspects(base::TimePoint now);
   void sendSuspectsTo(protocol::ConnectionId gateway, base::TimePoint now);
-  /// @return true if nothing new is to be sent to the worker.
+  /// @return true if no new requests may be sent to the worker.
   bool outOfService(const WorkerRecord& record) const;
   bool mayBeServed(const ModelDemand& demand) const;
   bool isPlain(const std::string& service) const;
-  /// The worker started at that time, or came back with its zone.
+  /// Marks the worker as cold: it started at that time, or its zone returned to service then.
   void beginCold(const WorkerRecord& record, WorkerStatus& status, base::TimePoint at);
   void takeColdWorkers();
-  /// @return how many gateways may send to a cold worker; nothing: all.
+  /// @return how many gateways may send to a cold worker; nothing: all of them.
   std::optional<std::size_t> mostGatewaysFor(const WorkerRecord& record, const WorkerStatus& status,
                                              base::TimePoint now) const;
   bool namesUnknownService(const Heartbeat& heartbeat) const;
@@ -144,7 +145,7 @@
   void decide(const catalog::Service& service, const std::vector<PlacementWorker>& workers,
               const std::map<std::string, std::uint32_t>& outside, base::TimePoint now);
   bool isLarge(const std::string& service) const;
-  /// @return true if a report would let the worker be ordered.
+  /// @return true if only a fresh report is missing before the worker may be ordered.
   bool needsReport(const WorkerRecord& record, const WorkerStatus& status,
                    base::TimePoint now) const;
   std::size_t plannedWorkers() const;
@@ -183,16 +184,17 @@
   const base::TimePoint since_;
   const OrderTurns& turns_;
   const RegistrationTimes* const registrations_;  ///< Null: none are known.
-  const base::TimePoint turnAllowedAt_;  ///< Not before, if another server had the last turn.
+  /// Earliest takeover of the order lease, if another server held it last.
+  const base::TimePoint turnAllowedAt_;
 
   std::shared_ptr<const catalog::Document> document_;
-  base::TimePoint documentSince_;        ///< When this leader took it.
-  std::set<std::string> plainServices_;  ///< Of the document: those without engines.
+  base::TimePoint documentSince_;        ///< When this leader took over `document_`.
+  std::set<std::string> plainServices_;  ///< Services of the document without engines.
   std::map<WorkerId, WorkerStatus> workers_;
-  /// Unknown workers that called from the endpoint of one that is alive, with the sequence.
+  /// Unknown workers that sent a heartbeat from the endpoint of a live one, with its sequence.
   std::map<WorkerId, std::uint64_t> contests_;
   WorkerIndex index_;
-  WorkerId poolStart_;  ///< See choosePlanningPool.
+  WorkerId poolStart_;  ///< Start of the planning pool: see choosePlanningPool.
   DemandBook demand_;
   QuotaLedger quotas_;
   WorkerLimitBook limits_;
@@ -200,44 +202,45 @@
   CrashMonitor crashes_;
   ViewPublisher publisher_;
   ViewEncoder viewEncoder_;
-  std::vector<WorkerLoad> loads_;  ///< As last collected.
+  std::vector<WorkerLoad> loads_;  ///< Loads as last collected, at `loadsTakenAt_`.
   base::TimePoint loadsTakenAt_;
   DocumentSender sender_;
-  /// Gateways that wait for their complete view. The document follows it: a gateway that has not
-  /// heard the leader yet takes no parts.
+  /// Gateways that wait for their complete view. The document follows that view, as a gateway takes
+  /// no document parts before its first view from this leader.
   std::map<protocol::ConnectionId, Subscribe> subscriptions_;
-  base::TimePoint publishAgainAt_;                   ///< Not before, while the lease is not valid.
+  base::TimePoint publishAgainAt_;  ///< Next attempt to publish, while the lease is not valid.
   std::map<std::string, PlacementPolicy> policies_;  ///< By service.
   std::map<std::string, StoreScheduler> stores_;     ///< By service.
   std::map<std::string, LoadBackoff> backoffs_;      ///< By service.
   LateModelAnnouncer lateModelAnnouncer_;
-  /// Workers that took an order for a model, or said that they carry one out; some have ended it.
+  /// Workers that accepted an order for a model or reported one in progress; some have finished it.
   std::set<WorkerId> busyWorkers_;
   std::map<std::uint64_t, SentOrder> orders_;
   std::uint64_t lastOrder_ = 0;
   std::map<std::uint64_t, Batch> batches_;
   std::uint64_t lastBatch_ = 0;
   bool holderProposed_ = false;
-  bool firstHolder_ = false;  ///< No server of the cell has ever had the turn to order.
+  bool firstHolder_ = false;  ///< No server of the cell has held the order lease before this one.
   bool workersClaimed_ = false;
-  bool fenced_ = false;  ///< A worker has seen a higher token: this leadership is over.
+  bool fenced_ = false;  ///< A worker has seen a higher fencing token: this leadership is over.
   base::TimePoint nextPlan_;
   base::TimePoint lastPlanAt_;
-  base::TimePoint nextCheck_;  ///< Of silence and of holdings to store.
+  base::TimePoint nextCheck_;  ///< Next check for unresponsive workers and holdings to store.
   base::TimePoint lastCheck_;
-  /// Since when this leader has been able to hear workers without a pause.
+  /// Start of the period in which this leader has received heartbeats without interruption.
   base::TimePoint hearingSince_;
   /// @name Workers whose view may have changed
   /// @{
   std::set<WorkerId> changed_;
-  std::set<WorkerId> unstored_;                         ///< Their holdings may differ from the log.
-  std::multimap<base::TimePoint, WorkerId> changesAt_;  ///< By the passing of time.
-  std::uint64_t workerChanges_ = 0;                     ///< Of the state, as taken.
-  std::uint64_t zoneChanges_ = 0;                       ///< Of the state, as taken.
+  std::set<WorkerId> unstored_;  ///< Workers whose holdings may differ from the log.
+  std::multimap<base::TimePoint, WorkerId> changesAt_;  ///< Changes that only time brings about.
+  std::uint64_t workerChanges_ = 0;  ///< Count of CellState's worker changes, as last processed.
+  std::uint64_t zoneChanges_ = 0;    ///< Count of CellState's zone changes, as last processed.
   /// @}
-  /// When each worker's silence is looked at again; an entry counts if its status names that time.
+  /// When each worker is next checked for silence; an entry is valid only if it equals the
+  /// `silenceCheckAt` of the worker's status.
   std::multimap<base::TimePoint, WorkerId> silenceChecks_;
-  bool workersKnown_ = false;  ///< All that were there at the beginning have been looked at.
+  bool workersKnown_ = false;  ///< All workers present at the start have been processed.
   bool planSoon_ = true;
   std::vector<RegistryAction> actions_;
   std::vector<Command> commands_;
--- a/src/registry/leader_turns.cpp
+++ b/src/registry/leader_turns.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a leader's duties that sees to its turn: from when on it may order a worker that a
-/// former leader ordered, and how the next leader learns of its own orders.
+/// The leader's handling of the order lease: from when on it may order workers that a previous
+/// leader ordered, and how it records its own orders for the next leader.
 
 #include <utility>
 
@@ -12,8 +12,8 @@
 
 using runtime::LogEvent;
 
-/// Workers check fences: as old as reports are, and some, so that they tell of all orders that the
-/// former holder gave.
+/// Delay of a takeover where workers check fencing tokens: the age of reports plus a margin, so
+/// that reports cover all orders of the previous holder.
 constexpr base::Duration kFencedTurnDelay = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -23,10 +23,10 @@
   return !fenced_ && holder == self_ && now >= since_;
 }
 
-/// Two servers must not order one worker in turn within the lease. With fences the former holder's
-/// late orders are refused, so one change needs no such wait, only that reports tell of its orders;
-/// a second change within the lease does, as the first holder might be back. Without fences each
-/// worker is waited for by itself: see `mayOrder`.
+/// Two servers must not order the same worker within one lease. Where workers check fencing tokens,
+/// late orders of the previous holder are refused, so a single takeover needs no such wait, only
+/// reports that cover its orders; a second takeover within the lease does wait, as the first holder
+/// might be back. Without fencing the wait applies to each worker: see `mayOrder`.
 base::TimePoint LeaderDuties::turnAllowedAt(std::optional<base::TimePoint> lastTurnAt) const {
   if (!options_.ordersFenced) {
     return since_;
@@ -36,8 +36,8 @@
   return since_ + (recent ? lease : kFencedTurnDelay);
 }
 
-/// Without fences, a worker that a former holder ordered lately is not ordered before that holder's
-/// lease is over.
+/// Without fencing, a worker that a previous holder ordered recently is not ordered before that
+/// holder's lease has ended.
 bool LeaderDuties::mayOrder(const WorkerId& worker, base::TimePoint now) const {
   const base::ServerId last = state_.lastOrderedBy(worker);
   return options_.ordersFenced || last == self_ || last == base::ServerId{} ||
@@ -59,14 +59,14 @@
   log_.write(LogEvent::orderTurn, {{"term", term_}, {"former", holder.value}});
 }
 
-/// A former leader orders only under its lease, which has ended by `since_`; what it sent last is
-/// on its way for some time.
+/// A previous leader sends orders only under its lease, which has ended by `since_`; its last
+/// orders may still be in flight for `kTurnMargin`.
 FormerLoads LeaderDuties::formerLoads() const {
   return firstHolder_ ? FormerLoads{std::nullopt} : FormerLoads{since_ + kTurnMargin};
 }
 
-/// Without fences, orders are in the log before they are sent, so that the next leader knows which
-/// workers it has to wait for.
+/// Without fencing, orders are committed to the log before they are sent, so that the next leader
+/// knows which workers it has to wait for.
 void LeaderDuties::record(const std::vector<PlacementStep>& steps, base::TimePoint now) {
   StoreOrderedWorkers command{self_, term_, ++lastBatch_, {}};
   for (const PlacementStep& step : steps) {
@@ -94,8 +94,8 @@
   }
 }
 
-/// Once every order of former holders is out of date, all workers are recorded as this server's:
-/// should it lead again after a restart, it need not wait for any.
+/// Once all orders of previous holders have expired, records all workers as last ordered by this
+/// server, so that it need not wait for any of them if it leads again after a restart.
 void LeaderDuties::claimWorkers(base::TimePoint now) {
   const base::TimePoint due = since_ + options_.orderLease + kTurnMargin + kRecordedOrderLifetime;
   if (options_.ordersFenced || workersClaimed_ || now < due) {
@@ -113,7 +113,7 @@
   }
 }
 
-/// Proposals may be lost, and a slow disk may hold them up: their orders are not sent any more.
+/// Cancels orders whose log entries were lost, or delayed by a slow disk.
 void LeaderDuties::dropUnrecorded(base::TimePoint now) {
   while (!batches_.empty() && now > batches_.begin()->second.plannedAt + kRecordedOrderLifetime) {
     const Batch late = std::move(batches_.begin()->second);
--- a/src/registry/registration_times.h
+++ b/src/registry/registration_times.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When workers have registered lately.
+/// Times at which workers registered recently.
 
 #include <deque>
 #include <map>
@@ -12,8 +12,8 @@
 
 namespace walnut::registry {
 
-/// Kept by every server as it applies the log, by its own clock, so that whoever leads next knows
-/// which workers have just started.
+/// Recent registration times of workers. Every server records them by its own clock as it applies
+/// the log, so that the next leader knows which workers have just started.
 class RegistrationTimes {
  public:
   void registered(const WorkerId& worker, base::TimePoint now) {
@@ -27,14 +27,14 @@
     times_[worker] = now;
     byTime_.emplace_back(now, worker);
   }
-  /// @return nothing if it was long ago.
+  /// @return when the worker registered; nothing if that was long ago.
   std::optional<base::TimePoint> of(const WorkerId& worker) const {
     const auto found = times_.find(worker);
     return found == times_.end() ? std::nullopt : std::optional(found->second);
   }
 
  private:
-  /// Longer than any worker is cold.
+  /// Retention period; longer than any worker is cold.
   static constexpr base::Duration kKept = std::chrono::minutes(1);
 
   std::map<WorkerId, base::TimePoint> times_;
--- a/src/registry/registry_calls.cpp
+++ b/src/registry/registry_calls.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Calls from outside: handed to the leader, decided there, answered.
+/// Handling of external calls: forwarding to the leader, decision there, and the answer.
 
 #include <xxhash.h>
 
@@ -18,25 +18,27 @@
 
 namespace {
 
-/// Calls that one turn of the loop decides or forwards, at most: some ms of a small core.
+/// Most calls that one event loop iteration decides or forwards: some ms of a small core.
 constexpr std::size_t kMostCallsInTurn = 64;
-/// Heartbeats that a server has given to the leader and that wait for their entries, at most: the
-/// leader's queue is as long as the servers are many, however many workers register at once.
+/// Most heartbeats that a server has forwarded to the leader and that are not answered yet. It
+/// bounds the leader's queue in proportion to the number of servers, however many workers register
+/// at once.
 constexpr std::size_t kMostForwardedHeartbeats = 32;
-/// Calls that wait at one server, at most: more than can be answered before their callers give up.
+/// Most calls that wait at one server: more than can be answered before their callers time out.
 constexpr std::size_t kMostWaitingCalls = 4096;
 
 }  // namespace
 
-/// While the leader sends heartbeats it is heard several times within this: as long as its lease.
+/// Returns true if the leader made contact within the check-quorum timeout. That is as long as its
+/// lease, and a leader sends several Raft heartbeats within it.
 bool RegistryImpl::hearsLeader() const {
   const consensus::RaftStatus status = raft_->status();
   return status.role != Role::leader && status.leader != base::ServerId{} &&
          now_ < leaderHeardAt_ + options_.raft.checkQuorumTimeout;
 }
 
-/// Acknowledges a heartbeat by which nothing replicated changes.
-/// @return false if the leader has to decide on it.
+/// Acknowledges a heartbeat that changes no replicated state.
+/// @return false if the leader has to decide on the heartbeat.
 bool RegistryImpl::relay(std::uint64_t call, const ReportAlive& body) {
   const bool relays =
       hearsLeader() && levelOf(raft_->status().leader) >= feature::kHeartbeatBatches;
@@ -62,7 +64,8 @@
   }
 }
 
-/// Founders are not told one another's zones.
+/// Prefers the zone that a server announced: founders don't know each other's zones from the
+/// membership.
 base::ZoneId RegistryImpl::zoneOf(const consensus::Member& member) const {
   if (member.id == options_.self.id) {
     return options_.self.zone;
@@ -71,7 +74,8 @@
   return found == peers_.end() ? member.zone : found->second.zone;
 }
 
-/// Where a worker had better call from now on: at a server of its zone, each at one of them.
+/// Chooses the server to which a worker should send further heartbeats: one of its own zone if
+/// there is any, by rendezvous hashing of the worker's id.
 base::Endpoint RegistryImpl::homeOf(const WorkerRecord& worker) const {
   const consensus::Membership membership = raft_->status().membership;
   base::Endpoint home = options_.self.resourceEndpoint;
@@ -124,7 +128,7 @@
   }
 }
 
-/// A worker that calls again before its entry is applied waits for that entry.
+/// A worker that repeats its heartbeat before its entry is applied waits for that entry.
 void RegistryImpl::decide(std::uint64_t call, const ReportAlive& body) {
   const WorkerRecord& record = body.heartbeat.worker;
   if (!leading_->heartbeat(body.heartbeat, now_)) {
@@ -151,7 +155,7 @@
   }
 }
 
-/// Idempotent: a zone that is as asked is acknowledged again.
+/// Idempotent: a call for a zone that already is in the requested state is acknowledged again.
 void RegistryImpl::decide(std::uint64_t call, const EvacuateZone& body) {
   if (!knowsZone(body.zone)) {
     ControlAnswer refusal;
@@ -203,7 +207,8 @@
   answer(call, std::move(done));
 }
 
-/// The entry that a call waited for is applied. A change of a zone may have come too late for it.
+/// Answers a call whose log entry is applied. An evacuation that was based on an older revision of
+/// its zone had no effect and is answered as unavailable.
 void RegistryImpl::answerApplied(std::uint64_t call) {
   const WaitingCall* waiting = calls_.find(call);
   if (waiting == nullptr) {
@@ -219,7 +224,8 @@
   }
 }
 
-/// Heartbeats that change nothing are taken by any server from then on.
+/// Answers a registration with the server that should take the worker's further heartbeats: any
+/// server can acknowledge those that change nothing.
 void RegistryImpl::answerRegistered(std::uint64_t call, const WorkerRecord& worker) {
   ControlAnswer done;
   done.status = ControlStatus::done;
@@ -237,8 +243,8 @@
   answer(call, std::move(unavailable));
 }
 
-/// Heartbeats are called again, by workers that wait longer and longer; what changes the document
-/// or a zone is taken in any case.
+/// Sheds heartbeats only: workers repeat them with increasing backoff. Calls that change the
+/// document or a zone are always accepted.
 void RegistryImpl::take(WaitingCall call) {
   const bool heartbeat = std::holds_alternative<ReportAlive>(call.call);
   const std::uint64_t number = calls_.add(std::move(call));
@@ -247,7 +253,8 @@
   }
 }
 
-/// In turns, so that consensus is never kept waiting by calls, however many come.
+/// Hands over a bounded number of calls per event loop iteration, so that calls never delay
+/// consensus, however many arrive.
 void RegistryImpl::handOverCalls() {
   const consensus::RaftStatus status = raft_->status();
   callsLeft_ = false;
@@ -262,7 +269,7 @@
   for (const std::uint64_t number : calls_.handTo(status.leader, kMostCallsInTurn, mostWaiting)) {
     WaitingCall& call = *calls_.find(number);
     if (!own && call.origin.connection) {
-      continue;  // Forwarded to this server, which doesn't lead any more: its sender sees that too.
+      continue;  // Forwarded to this server, which no longer leads: its sender learns that too.
     }
     if (own) {
       const ControlCall body = call.call;
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -64,8 +64,8 @@
   RegistryOutputs outputs;
   outputs.persist = std::move(raftOutputs.persist);
   for (consensus::Message& message : raftOutputs.messages) {
-    // A server that is being admitted answers a leader that it does not know as a member yet: that
-    // goes over the connection which the leader opened.
+    // A server that is being admitted answers a leader that is not in its membership yet. Such an
+    // answer has no endpoint and goes over the connection that the leader opened.
     const base::ServerId to = message.to;
     const base::Endpoint endpoint = peerEndpointOf(to).value_or(base::Endpoint{});
     actions_.emplace_back(control::SendToServer{to, endpoint, std::move(message)});
@@ -211,8 +211,8 @@
   }
 }
 
-/// Only the leader tells gateways anything: what another server has applied may be older than what
-/// was acknowledged, and after a restart it is.
+/// Only the leader serves gateways: the state that another server has applied may be older than
+/// what was acknowledged, and it is older after a restart.
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const Subscribe& message) {
   if (leadingActively()) {
     const auto found = gatewayPeers_.find(from);
@@ -280,7 +280,7 @@
   }
 }
 
-// Duties
+// Periodic tasks
 
 bool RegistryImpl::durableBeyondLosses() const {
   return majorityOutlivesLosses(raft_->status().membership, options_.tolerableLosses);
@@ -352,8 +352,8 @@
   takeSnapshotIfDue();
 }
 
-/// Gateways go by the answer on their own clocks: it is given only once a majority has confirmed,
-/// after the question, that no other server leads.
+/// Gateways trust the answer for some time by their own clocks. It is therefore sent only once a
+/// majority has confirmed, after the query arrived, that no other server leads.
 void RegistryImpl::confirmDocuments() {
   if (!leadingActively()) {
     return;
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A server of the registry.
+/// Implementation of a registry server.
 
 #include <map>
 #include <memory>
@@ -20,9 +20,10 @@
 
 namespace walnut::registry {
 
-/// Any server takes calls; the leader decides them. A call that changes something is answered once
-/// its entry is committed by a majority that is larger than the disks which may be lost. Gateways
-/// are served by the leader, once it has applied all that was committed before its term.
+/// Decision logic of one registry server. Any server accepts calls; the leader decides them. A call
+/// that changes something is answered once its log entry is committed by a majority larger than the
+/// number of disks that may be lost. Gateways are served only by the leader, once it has applied
+/// all entries committed before its term.
 class RegistryImpl : public Registry {
  public:
   RegistryImpl(const RegistryOptions& options, consensus::RecoveredState recovered,
@@ -35,7 +36,7 @@
   consensus::RaftStatus raftStatus() const override { return raft_->status(); }
 
  private:
-  /// A call that waits for a log entry, or for a read to be confirmed.
+  /// A call that waits for the confirmation of its linearizable read.
   struct PendingRead {
     std::uint64_t call = 0;
     std::uint64_t token = 0;
@@ -86,7 +87,7 @@
   bool hearsLeader() const;
   base::ZoneId zoneOf(const consensus::Member& member) const;
   base::Endpoint homeOf(const WorkerRecord& worker) const;
-  /// A call that came, if there is room for it.
+  /// Accepts a call, unless it is a heartbeat and too many calls are waiting.
   void take(WaitingCall call);
 
   // Calls, at the leader
@@ -95,7 +96,7 @@
   void decide(std::uint64_t call, const ReportAlive& body);
   void decide(std::uint64_t call, const ReportGone& body);
   void decide(std::uint64_t call, const EvacuateZone& body);
-  /// @return the entry that the call waits for; nothing if this server doesn't lead any more.
+  /// @return the log entry that the call waits for; nothing if this server no longer leads.
   std::optional<consensus::LogIndex> propose(std::uint64_t call, const Command& command);
   void answer(std::uint64_t call, ControlAnswer answer);
   void answerDone(std::uint64_t call);
@@ -104,7 +105,7 @@
   bool knowsZone(const base::ZoneId& zone) const;
   void answerUnavailable(std::uint64_t call, std::string_view reason);
 
-  // Duties
+  // Periodic tasks
   void followLeadership();
   void beginLeading(const consensus::RaftStatus& status);
   void endLeading();
@@ -122,7 +123,7 @@
   void takeSnapshotIfDue();
   void keepCell();
   void raiseFeatureLevel();
-  /// @return the level that a server has said it knows; 0: it has said none to this process.
+  /// @return the feature level that a server has announced to this process; 0: none.
   std::uint32_t levelOf(base::ServerId server) const;
   bool isOfLowerLevel(base::ServerId server) const;
   void askToJoin();
@@ -140,54 +141,54 @@
   std::unique_ptr<consensus::Raft> raft_;
   CellState state_;
   consensus::LogIndex appliedIndex_ = 0;
-  std::optional<base::Error> unreadable_;  ///< Then nothing is applied or sent any more.
+  std::optional<base::Error> unreadable_;  ///< If set, nothing more is applied or sent.
   std::size_t bytesSinceSnapshot_ = 0;
-  std::size_t snapshotBytes_ = 0;  ///< Of the last one that this server took.
+  std::size_t snapshotBytes_ = 0;  ///< Size of the last snapshot that this server took.
   std::vector<RegistryAction> actions_;
 
   CallTable calls_;
-  HeartbeatRelay relay_;    ///< While another server leads.
-  bool callsLeft_ = false;  ///< Some wait for this server's next turn.
-  std::map<consensus::LogIndex, std::vector<std::uint64_t>> callsByEntry_;  ///< At the leader.
-  std::vector<PendingRead> reads_;                                          ///< At the leader.
+  HeartbeatRelay relay_;    ///< Used while another server leads.
+  bool callsLeft_ = false;  ///< Some calls wait for the next event loop iteration.
+  std::map<consensus::LogIndex, std::vector<std::uint64_t>> callsByEntry_;  ///< Leader only.
+  std::vector<PendingRead> reads_;                                          ///< Leader only.
 
-  /// What a peer has said of itself.
+  /// Properties that a peer announced in its Hello.
   struct Peer {
     std::uint32_t featureLevel = 0;
     base::ZoneId zone;
   };
-  std::map<base::ServerId, Peer> peers_;  ///< Other servers, on their latest connections.
-  std::map<protocol::ConnectionId, Peer> gatewayPeers_;  ///< Gateways that are linked.
+  std::map<base::ServerId, Peer> peers_;  ///< Other servers, by their latest connections.
+  std::map<protocol::ConnectionId, Peer> gatewayPeers_;  ///< Connected gateways.
 
-  // Of the present leadership of this server.
+  // State of this server's present leadership.
   std::unique_ptr<LeaderDuties> leading_;
-  consensus::LogIndex activeIndex_ = 0;  ///< The leader's first own entry.
+  consensus::LogIndex activeIndex_ = 0;  ///< Index of this leader's own first entry.
   std::optional<CellKeeper> keeper_;
   DocumentConfirmer confirmer_;
   std::uint64_t pendingDocumentVersion_ = 0;
   consensus::LogIndex pendingDocumentIndex_ = 0;
   std::uint32_t proposedLevel_ = 0;
-  /// A worker's record that is in the log and not applied yet.
+  /// A worker's record whose log entry is not applied yet.
   struct PendingWorker {
     WorkerRecord record;
     consensus::LogIndex index = 0;
   };
   std::map<WorkerId, PendingWorker> pendingWorkers_;
 
-  // What this server believes, as last logged.
+  // Role, leader and membership as last written to the event log.
   consensus::Role lastRole_ = consensus::Role::follower;
   base::ServerId lastLeader_;
   consensus::LogIndex lastMembershipIndex_ = 0;
 
-  /// When another server took the turn to order, while this one ran.
+  /// When this process last saw a server take over the order lease.
   std::optional<base::TimePoint> lastTurnAt_;
   OrderTurns orderTurns_;
   RegistrationTimes registrations_;
-  const consensus::LogIndex recoveredIndex_;  ///< The last entry of the log as it was recovered.
+  const consensus::LogIndex recoveredIndex_;  ///< Last entry of the recovered log.
   const base::TimePoint startedAt_;
   base::TimePoint leaderHeardAt_;
   base::TimePoint nextJoinAt_;
-  std::vector<base::Endpoint> learnedEndpoints_;  ///< From answers to requests to join.
+  std::vector<base::Endpoint> learnedEndpoints_;  ///< Learned from answers to join requests.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/registry_membership.cpp
+++ b/src/registry/registry_membership.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Who is in the cell, and what its servers know.
+/// Membership of the cell and the feature levels of its servers.
 
 #include <algorithm>
 #include <utility>
@@ -55,12 +55,12 @@
   return found == peers_.end() ? 0 : found->second.featureLevel;
 }
 
-/// A server that is not linked with this one was judged by the one that forwarded its request.
+/// A server without a connection to this one was checked by the server that forwarded its request.
 bool RegistryImpl::isOfLowerLevel(base::ServerId server) const {
   return peers_.count(server) != 0 && levelOf(server) < state_.featureLevel();
 }
 
-/// The level of the cell is the least that its servers have said that they know.
+/// Raises the cell's feature level to the lowest one that its servers have announced.
 void RegistryImpl::raiseFeatureLevel() {
   const std::uint32_t held = std::max(state_.featureLevel(), proposedLevel_);
   if (held >= kCellFeatureLevel || !leadingActively()) {
@@ -75,8 +75,8 @@
   }
 }
 
-/// A server that hears no leader asks all that it knows of to be admitted; those that are in the
-/// membership are told nothing new by it.
+/// A server without contact to a leader asks all known servers for admission. For a server that
+/// already is a member this has no effect.
 void RegistryImpl::askToJoin() {
   if (now_ < leaderHeardAt_ + options_.joinAfterSilence || now_ < nextJoinAt_) {
     return;
--- a/src/registry/registry_state.cpp
+++ b/src/registry/registry_state.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Entries of the log, as they are applied to the replicated state.
+/// Application of log entries to the replicated state, and snapshots.
 
 #include <algorithm>
 #include <utility>
@@ -59,7 +59,7 @@
   if (const auto* document = std::get_if<StoreDocument>(&command)) {
     log_.write(LogEvent::documentStored, {{"version", document->version}, {"index", index}});
   } else if (const auto* worker = std::get_if<StoreWorker>(&command)) {
-    if (index > recoveredIndex_) {  // What was recovered is told of by the lines of that time.
+    if (index > recoveredIndex_) {  // Recovered entries were logged when they were first applied.
       log_.write(LogEvent::workerStored,
                  {{"worker", worker->worker.id.value},
                   {"service", worker->worker.service},
@@ -91,7 +91,7 @@
   }
 }
 
-/// Before a command is applied.
+/// Records when a new worker registered; to be called before the command is applied.
 void RegistryImpl::noteRegistration(const Command& command, consensus::LogIndex index) {
   const auto* stored = std::get_if<StoreWorker>(&command);
   if (stored != nullptr && index > recoveredIndex_ &&
@@ -100,7 +100,8 @@
   }
 }
 
-/// Before a command is applied.
+/// Passes on the last order time of a worker's previous incarnation; to be called before the
+/// command is applied.
 void RegistryImpl::noteSuccession(const Command& command) {
   const auto* stored = std::get_if<StoreWorker>(&command);
   if (stored == nullptr) {
@@ -124,7 +125,8 @@
   }
 }
 
-/// As much is written in snapshots as in the log, however large the state is.
+/// Snapshots wait until the log has grown by the size of the last one, so that they write at most
+/// as many bytes as the log, however large the state is.
 void RegistryImpl::takeSnapshotIfDue() {
   if (bytesSinceSnapshot_ < std::max(options_.snapshotEveryBytes, snapshotBytes_)) {
     return;
--- a/src/registry/view_codec.cpp
+++ b/src/registry/view_codec.cpp
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kLimited = 16;
 /// @}
 
-/// Limits are told in thousandths of a request a second.
+/// Limits are encoded in thousandths of a request per second.
 constexpr double kLimitUnits = 1000;
 
 base::Error malformed(const char* detail) {
@@ -34,7 +34,8 @@
 
 }  // namespace
 
-/// Names that the receiver does not know are collected, and stand before the rest.
+/// Writes the body of a view. Names that the receiver does not know are collected and precede the
+/// body.
 class ViewEncoder::Writer {
  public:
   Writer(ViewEncoder& encoder, ViewCursor& cursor) : encoder_(encoder), cursor_(cursor) {}
@@ -169,7 +170,8 @@
   return writer.finish((view.complete ? kComplete : 0) | (namesAnew ? kNamesAnew : 0));
 }
 
-/// Fails for good at the first value that can't be read; then each further one is empty.
+/// Reads values of a view. Fails permanently at the first unreadable value; all further values are
+/// empty.
 class ViewDecoder::Reader {
  public:
   Reader(std::string_view bytes, const std::vector<std::string>& names)
@@ -194,7 +196,7 @@
     failed_ = failed_ || value > std::numeric_limits<Narrow>::max();
     return failed_ ? 0 : static_cast<Narrow>(value);
   }
-  /// @return how many items follow, each of a byte at least.
+  /// @return the number of items that follow, each of at least one byte.
   std::uint64_t count() {
     const std::uint64_t value = number();
     failed_ = failed_ || value > rest_.size();
--- a/src/registry/view_interest.cpp
+++ b/src/registry/view_interest.cpp
@@ -104,7 +104,7 @@
   }
 }
 
-/// Another worker serves it: those that need more of them may follow it.
+/// Lets gateways that follow too few workers for the key follow the one that now serves it.
 void ViewInterest::startedServing(const WorkerId& id, const Worker& worker, const ModelKey& key) {
   serving_[key][worker.zone].emplace(worker.hash, id);
   if (key.model.empty() && plain_.insert(key).second) {
@@ -191,7 +191,7 @@
   return running > kBusyShare * slots;
 }
 
-/// Sees to it that the gateway follows as many workers for the key as it needs, if there are.
+/// Makes the gateway follow as many workers for the key as it needs, if there are enough.
 void ViewInterest::fill(GatewayId id, Gateway& gateway, const ModelKey& key) {
   const std::size_t needed = gateway.needs.at(key).workers;
   const std::size_t followed = followedFor(gateway, key).size();
@@ -216,8 +216,8 @@
   }
 }
 
-/// @return workers to follow next: of the own zone first, then of the zones after it in a circle;
-/// in each zone from where the gateway's group begins.
+/// @return workers to follow next: first those of the gateway's zone, then those of the following
+/// zones in cyclic order; in each zone from the start of the gateway's group.
 std::vector<WorkerId> ViewInterest::unfollowed(GatewayId id, const Gateway& gateway,
                                                const Rings& rings, std::size_t most) const {
   constexpr std::uint64_t kSpan = std::numeric_limits<std::uint64_t>::max() / kGroups;
--- a/src/registry/view_interest.h
+++ b/src/registry/view_interest.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which workers a gateway of a large fleet is told of.
+/// Selects the workers that each gateway of a large fleet is sent updates of.
 
 #include <cstdint>
 #include <map>
@@ -15,60 +15,60 @@
 
 namespace walnut::registry {
 
-/// Each gateway follows some of the workers of each plain service, and some of those that serve a
-/// model or an adapter that it has been asked for: more of them while these are busy or its
-/// requests wait. Those of its own zone come first. Gateways of one group follow the same workers
-/// as far as can be, so that the prompts that these have read are used again; groups differ, so
-/// that no worker is everybody's.
+/// Subscriptions of gateways to subsets of the workers. Each gateway follows some workers of each
+/// plain service, and some of those that serve a model or adapter requested from it; more of them
+/// while these are busy or its requests wait. Workers of its own zone come first. Gateways of one
+/// group follow the same workers where possible, so that prompts already processed there are
+/// reused; groups follow different workers, so that no worker gets the requests of all gateways.
 ///
-/// Work grows with what changes and who follows it, never with workers x gateways.
+/// Work grows with the number of changes and their followers, never with workers x gateways.
 class ViewInterest {
  public:
   using GatewayId = protocol::ConnectionId;
 
-  /// @name Workers of one kind that a gateway follows to begin with
+  /// @name Initial number of workers that a gateway follows per model and per plain service
   /// @{
   static constexpr std::size_t kModelWorkers = 4;
   static constexpr std::size_t kPlainWorkers = 16;
   /// @}
-  /// Gateways whose ids are alike by this follow the same workers.
+  /// Number of groups; gateways whose ids are equal modulo it follow the same workers.
   static constexpr std::uint64_t kGroups = 8;
-  /// Of the slots of the followed workers that serve a model: from then on more are followed.
+  /// Share of busy slots of the followed workers above which a gateway follows more workers.
   static constexpr double kBusyShare = 0.25;
-  /// From which on what a gateway has no use for any more is dropped.
+  /// Number of followed workers above which a gateway drops those that it no longer needs.
   static constexpr std::size_t kMostFollowed = 512;
-  /// A model that nobody asked a gateway for in this time is of no use to it.
+  /// A gateway no longer needs a model that was not requested from it for this time.
   static constexpr base::Duration kInterestLasts = std::chrono::minutes(1);
 
   void addGateway(GatewayId gateway, const base::ZoneId& zone);
   void removeGateway(GatewayId gateway);
-  /// A gateway has been told of a worker by other means.
+  /// Records that a gateway already was sent a worker by other means.
   void followed(GatewayId gateway, const WorkerId& worker);
 
-  /// @param plain it serves a plain service: all its workers serve the same.
+  /// @param plain true if the worker belongs to a plain service, all of whose workers are equal.
   void setWorker(const WorkerView& view, bool plain);
   void removeWorker(const WorkerId& worker);
   void setRunning(const WorkerId& worker, std::uint32_t running);
 
-  /// The gateway was asked for a model or adapter.
-  /// @param waiting requests for it wait there: the workers that it follows do not do.
+  /// Records that a model or adapter was requested from the gateway.
+  /// @param waiting true if requests for it wait there: the followed workers are not enough.
   void asked(GatewayId gateway, const ModelKey& key, bool waiting, base::TimePoint now);
 
   const std::set<GatewayId>& followersOf(const WorkerId& worker) const;
   const std::set<WorkerId>& followedBy(GatewayId gateway) const;
 
-  /// A gateway follows a worker, or no longer does.
+  /// A gateway begins or ceases to follow a worker.
   struct Change {
     GatewayId gateway;
     WorkerId worker;
     bool follows = true;
   };
-  /// @return changes since the last call, in their order.
+  /// @return the changes since the last call, in order.
   std::vector<Change> takeChanges() { return std::exchange(changes_, {}); }
 
  private:
   struct Need {
-    std::size_t workers = 0;  ///< That are to be followed for it.
+    std::size_t workers = 0;  ///< Number of workers to follow.
     base::TimePoint askedAt;
   };
   struct Gateway {
@@ -78,14 +78,14 @@
   };
   struct Worker {
     base::ZoneId zone;
-    std::uint64_t hash = 0;  ///< Of the id: its place in rings.
+    std::uint64_t hash = 0;  ///< Hash of the id, which is the position in rings.
     std::uint32_t slots = 0;
     std::uint32_t running = 0;
-    std::set<ModelKey> serves;  ///< Empty while nothing new is to be sent to it.
+    std::set<ModelKey> serves;  ///< Empty while no new requests may be sent to the worker.
     std::set<GatewayId> followers;
   };
 
-  /// Workers of one zone in a fixed order, by which each group begins elsewhere.
+  /// Workers of one zone in a fixed order, in which each group has a different start.
   using Ring = std::set<std::pair<std::uint64_t, WorkerId>>;
   using Rings = std::map<base::ZoneId, Ring>;
 
@@ -106,9 +106,9 @@
 
   std::map<GatewayId, Gateway> gateways_;
   std::map<WorkerId, Worker> workers_;
-  std::map<ModelKey, Rings> serving_;              ///< Who serves it.
+  std::map<ModelKey, Rings> serving_;              ///< Workers that serve each key.
   std::set<ModelKey> plain_;                       ///< Keys of plain services.
-  std::map<ModelKey, std::set<GatewayId>> unmet_;  ///< Who follows fewer than it needs.
+  std::map<ModelKey, std::set<GatewayId>> unmet_;  ///< Gateways that follow too few workers.
   std::vector<Change> changes_;
 };
 
--- a/src/registry/view_publisher.cpp
+++ b/src/registry/view_publisher.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-/// Loads change all the time: a gateway is told of them this seldom, so that what they take does
-/// not grow with the square of a deployment.
+/// Least time between two updates of loads to a gateway, fixed and per worker. Loads change all the
+/// time; without it their traffic would grow with the square of the size of a deployment.
 constexpr base::Duration kLoadSpacing = std::chrono::milliseconds(20);
 constexpr base::Duration kLoadSpacingPerWorker = std::chrono::milliseconds(2);
 
-/// Of the count of gateways, that is told at once; the budget's share (gateway.cpp) covers less.
+/// Growth of the number of gateways that is published at once; smaller growth is covered by the
+/// share of the budget that gateways keep (gateway.cpp).
 constexpr double kUrgentGrowth = 1.3;
 
 }  // namespace
@@ -65,7 +66,7 @@
   return told;
 }
 
-/// Others for each worker.
+/// Chooses gateways by a hash of the worker's id, so that different workers get different ones.
 std::set<protocol::ConnectionId> ViewPublisher::chooseGateways(const WorkerId& worker,
                                                                std::size_t most) const {
   std::set<protocol::ConnectionId> chosen;
@@ -142,8 +143,8 @@
          countGrew(gateway) || now >= gateway.lastSent + interval_;
 }
 
-/// A gateway that doesn't know of many others takes too much of what they share. Each new one is no
-/// news to all others: that would be as many updates as gateways squared.
+/// A gateway that does not know of many others uses too large a part of the shared budget. But not
+/// each new gateway is published at once, as that would take gateways squared updates.
 bool ViewPublisher::countGrew(const Gateway& gateway) const {
   return static_cast<double>(gateways_.size()) > kUrgentGrowth * gateway.gateways;
 }
--- a/src/registry/view_publisher.h
+++ b/src/registry/view_publisher.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Keeps gateways told of workers and of the document's version, by changes since what each was
-/// last sent.
+/// Sends gateways updates of the workers and of the document version, as changes since the last
+/// update to each gateway.
 
 #include <map>
 #include <memory>
@@ -18,48 +18,48 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader. A connection delivers in order or ends, so what was sent to it needs no
-/// acknowledgement.
+/// Publisher of incremental view updates to gateways; used by the leader. A connection delivers in
+/// order or ends, so updates need no acknowledgement.
 ///
-/// While workers x gateways are few, each gateway is told of every worker. From `kMostPairs` on,
-/// and until the end of the leadership, it is told of those that it follows (ViewInterest), and of
-/// what it was told before.
+/// While workers x gateways is small, each gateway is sent every worker. From `kMostPairs` on, and
+/// until the end of the leadership, it is sent only the workers that it follows (ViewInterest),
+/// which include those sent to it before.
 class ViewPublisher {
  public:
   explicit ViewPublisher(base::Duration interval);
 
-  /// @name Complete updates at a time, and the time between: gateways that start together must not
-  /// hold up the loop. One of 90 workers takes some 40 KB, 0.4 ms of a core.
+  /// @name Most complete updates per time slice, and the time between slices: gateways that start
+  /// together must not block the event loop. An update of 90 workers takes 40 KB, 0.4 ms of a core.
   /// @{
   static constexpr std::size_t kMostCompleteUpdates = 8;
   static constexpr base::Duration kCompleteSpacing = std::chrono::milliseconds(10);
   /// @}
-  /// Pairs of a gateway and a worker from which on gateways follow only some: telling each of the
-  /// pairs takes some 10 MB at the leader, and a second of a small core.
+  /// Number of gateway and worker pairs above which gateways follow only some workers: sending all
+  /// these pairs takes some 10 MB at the leader and a second of a small core.
   static constexpr std::size_t kMostPairs = 100'000;
 
-  /// @param featureLevel that the gateway knows.
+  /// @param featureLevel feature level that the gateway supports.
   void subscribe(protocol::ConnectionId gateway, const base::ZoneId& zone = {},
                  std::uint32_t featureLevel = 0);
   void unsubscribe(protocol::ConnectionId gateway);
   std::size_t gatewayCount() const { return gateways_.size(); }
-  /// @return true while each gateway is told of every worker.
+  /// @return true while each gateway is sent every worker.
   bool tellsAll() const { return !interest_; }
   std::vector<protocol::ConnectionId> gateways() const;
-  /// A gateway was asked for a model or adapter: see ViewInterest::asked.
+  /// Records that a model or adapter was requested from a gateway: see ViewInterest::asked.
   void asked(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
              base::TimePoint now);
 
-  /// @param plain it serves a plain service: all its workers serve the same.
-  /// @param mostGateways that may send to it; to the others it is one that leaves. Where gateways
-  /// follow only some workers none may.
+  /// @param plain true if the worker belongs to a plain service, all of whose workers are equal.
+  /// @param mostGateways how many gateways may send requests to it; the others see it as leaving.
+  /// While gateways follow only some workers, a limited worker gets requests from none.
   void setWorker(const WorkerView& view, bool plain = false,
                  std::optional<std::size_t> mostGateways = std::nullopt);
   void removeWorker(const WorkerId& worker);
   /// @return the workers that were set and not removed.
   std::vector<WorkerId> workers() const;
 
-  /// @return true if `takeUpdates` would have something.
+  /// @return true if `takeUpdates` would return updates.
   bool due(base::TimePoint now, std::uint64_t documentVersion) const;
 
   struct Update {
@@ -67,13 +67,13 @@
     ViewUpdate update;
     ViewCursor& cursor;  ///< For the encoder; valid until the gateway unsubscribes.
   };
-  /// @param documentVersion of the one in force; 0: there is none.
-  /// @return what to send now; of complete updates only a few at a time.
+  /// @param documentVersion version of the current document; 0: there is none.
+  /// @return the updates to send now; the number of complete ones is bounded.
   std::vector<Update> takeUpdates(base::TimePoint now, consensus::Term term,
                                   std::uint64_t documentVersion,
                                   const std::vector<WorkerLoad>& loads,
                                   const std::vector<base::Endpoint>& servers);
-  /// @return when `takeUpdates` has something by the passing of time alone.
+  /// @return when `takeUpdates` next returns updates if nothing changes before.
   base::TimePoint nextUpdate() const;
 
  private:
@@ -82,24 +82,25 @@
 
   struct Gateway {
     base::ZoneId zone;
-    bool complete = false;              ///< It has got the whole view.
-    std::uint64_t documentVersion = 0;  ///< As it was last told.
+    bool complete = false;              ///< True once the complete view was sent.
+    std::uint64_t documentVersion = 0;  ///< Value last sent.
     std::uint64_t revision = 0;
-    std::uint32_t gateways = 0;  ///< As it was last told.
+    std::uint32_t gateways = 0;  ///< Value last sent.
     base::TimePoint lastSent;
-    std::uint64_t loadRevision = 0;  ///< Up to which it was told loads.
+    std::uint64_t loadRevision = 0;  ///< Revision up to which loads were sent.
     base::TimePoint loadsSentAt;
-    std::vector<base::Endpoint> servers;  ///< As it was last told.
+    std::vector<base::Endpoint> servers;  ///< Value last sent.
     ViewCursor cursor;
-    /// @name While it follows only some workers: what it is to be told of next
+    /// @name Content of the next update, while gateways follow only some workers
     /// @{
     std::set<WorkerId> changed;
     std::set<WorkerId> removed;
     std::set<WorkerId> loads;
     /// @}
-    base::TimePoint dueAt;  ///< As in `dueAt_`.
+    base::TimePoint dueAt;  ///< Time of its entry in `dueAt_`.
   };
-  /// A worker's requests of all gateways; kept at 0, as gateways have to be told of that too.
+  /// Number of a worker's requests of all gateways. An entry of 0 is kept, as gateways have to be
+  /// sent that value too.
   struct Load {
     std::uint32_t running = 0;
     std::uint64_t revision = 0;
@@ -109,7 +110,7 @@
     bool plain = false;
     std::uint64_t revision = 0;
     bool removed = false;
-    std::optional<std::set<protocol::ConnectionId>> onlyFor;  ///< Absent: for all gateways.
+    std::optional<std::set<protocol::ConnectionId>> onlyFor;  ///< Absent: all gateways may use it.
 
     WorkerView viewFor(protocol::ConnectionId gateway) const;
   };
@@ -122,7 +123,7 @@
   std::set<protocol::ConnectionId> chooseGateways(const WorkerId& worker, std::size_t most) const;
   void dropRemoved();
 
-  // While gateways follow only some workers (view_publisher_interest.cpp).
+  // Used while gateways follow only some workers (view_publisher_interest.cpp).
   void followIfLarge();
   void takeInterestChanges();
   void noteWorkerChanged(const WorkerId& worker);
@@ -142,13 +143,13 @@
   std::uint64_t loadRevision_ = 0;
   std::map<WorkerId, Load> loads_;
   std::optional<ViewInterest> interest_;  ///< Absent: each gateway follows all workers.
-  /// @name With an interest, by time and gateway
+  /// @name Gateways with due updates, while gateways follow only some workers
   /// @{
   std::set<std::pair<base::TimePoint, protocol::ConnectionId>> dueAt_;
   std::set<protocol::ConnectionId> incomplete_;
   std::set<protocol::ConnectionId> withNews_;
   /// @}
-  std::uint64_t toldVersion_ = 0;  ///< Of the document, in the last updates.
+  std::uint64_t toldVersion_ = 0;  ///< Document version in the last updates.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/view_publisher_interest.cpp
+++ b/src/registry/view_publisher_interest.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of the publisher for fleets of which a gateway follows only some workers: what it does
-/// takes time in proportion to what changed and who follows it.
+/// The part of ViewPublisher for large fleets, in which a gateway follows only some workers. Its
+/// work grows with the number of changes and their followers.
 
 #include <algorithm>
 #include <utility>
@@ -11,12 +11,13 @@
 
 namespace {
 
-/// Updates that one turn makes, at most: some ms of a small core.
+/// Most updates per event loop iteration: some ms of a small core.
 constexpr std::size_t kMostUpdatesInTurn = 64;
 
 }  // namespace
 
-/// Gateways have been told of all workers so far, and go on following them.
+/// Switches to partial views once the fleet is large. Gateways were sent all workers so far, and go
+/// on following them.
 void ViewPublisher::followIfLarge() {
   if (interest_ || gateways_.size() * workers_.size() <= kMostPairs) {
     return;
@@ -65,7 +66,7 @@
   for (const ViewInterest::Change& change : interest_->takeChanges()) {
     Gateway& gateway = gateways_.at(change.gateway);
     if (!gateway.complete) {
-      continue;  // Its complete view has what it follows by then.
+      continue;  // Its complete view will have all workers that it follows.
     }
     if (change.follows) {
       gateway.changed.insert(change.worker);
@@ -90,7 +91,7 @@
   }
 }
 
-/// Loads change all the time: they go with the next update that is due anyway.
+/// Loads change all the time, so they are sent only with the next update that is due anyway.
 void ViewPublisher::noteLoadChanged(const WorkerId& worker, std::uint32_t running) {
   if (!interest_) {
     return;
@@ -109,7 +110,7 @@
   withNews_.erase(id);
 }
 
-/// A new document is news for all.
+/// Schedules an update for all gateways if the document version has changed.
 void ViewPublisher::noteDocument(std::uint64_t version) {
   if (!interest_ || std::exchange(toldVersion_, version) == version) {
     return;
@@ -127,8 +128,8 @@
   return intervalOver || completeDue || !withNews_.empty() || documentVersion != toldVersion_;
 }
 
-/// @return gateways to be told something now: those that wait for their first view, those that have
-/// waited longest, those with news.
+/// @return gateways to be sent an update now: first those that wait for their first view, then
+/// those whose interval is over, longest first, then those with changes.
 std::vector<protocol::ConnectionId> ViewPublisher::dueGateways(base::TimePoint now,
                                                                std::uint64_t documentVersion) {
   std::vector<protocol::ConnectionId> due;
--- a/src/registry/worker_index.h
+++ b/src/registry/worker_index.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which workers serve which models.
+/// Index of workers by the models they serve.
 
 #include <map>
 #include <set>
@@ -11,8 +11,9 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader of the workers that new requests may be sent to; a change takes time in
-/// proportion to what one worker holds. An adapter stands beside its model, as MODEL/ADAPTER.
+/// Index of the workers that accept new requests, by service and model; used by the leader. A
+/// change takes time in proportion to what one worker holds. An adapter has an entry of its own
+/// beside its model, as MODEL/ADAPTER.
 class WorkerIndex {
  public:
   using Workers = std::set<WorkerId>;
@@ -23,10 +24,10 @@
   void remove(const WorkerId& worker);
 
   const Workers& of(const std::string& service) const;
-  /// @return by model; no set is empty.
+  /// @return the workers of a service by model; no set is empty.
   const ByModel& models(const std::string& service) const;
   const Workers& holding(const std::string& service, const std::string& model) const;
-  /// @return what the worker holds.
+  /// @return the models and adapters that the worker holds.
   const std::set<std::string>& heldBy(const WorkerId& worker) const;
   static std::string adapterName(const std::string& model, const std::string& adapter) {
     return model + "/" + adapter;
--- a/src/registry/worker_outlier_detector.h
+++ b/src/registry/worker_outlier_detector.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which workers fail what gateways send them.
+/// Detection of workers that fail the requests sent by gateways.
 
 #include "control/outlier_detector.h"
 #include "walnut/protocol/messages.h"
--- a/src/registry/worker_status.cpp
+++ b/src/registry/worker_status.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Longer than two heartbeats: by then a worker's word includes the order.
-/// Reports are some 100 ms old.
+/// Greatest age of a report; reports are some 100 ms old.
 constexpr base::Duration kReportAge = std::chrono::milliseconds(350);
-/// For the requests that an adapter was loaded for to reach it.
+/// Time in which an adapter counts as new, so that the requests it was loaded for reach it.
 constexpr base::Duration kNewAdapter = std::chrono::milliseconds(1500);
+/// Longer than two heartbeat intervals: by then heartbeats of the worker reflect the order.
 constexpr base::Duration kOverlayLifetime = std::chrono::seconds(4);
 
 }  // namespace
@@ -53,9 +53,10 @@
   return holdingsHash == worker.holdingsHash;
 }
 
-/// A heartbeat may have been on its way for seconds, and the first one that a leader hears can't be
-/// told from a current one by its sequence. Models come and go by orders only: one that tells
-/// otherwise than the last report did, without an order to explain it, is from before the report.
+/// Returns true if orders explain the difference between a heartbeat and the last report. A
+/// heartbeat may have been in flight for seconds, and the sequence can't show that for the first
+/// one that a leader receives. Models change by orders only, so a heartbeat that differs from the
+/// last report without an order to explain it was sent before that report.
 bool WorkerStatus::explains(const Holdings& holdings) const {
   const auto ordered = [this](const std::string& model) {
     return (modelOrder && modelOrder->model == model) ||
@@ -70,7 +71,7 @@
 }
 
 void WorkerStatus::takeReport(const WorkerReport& report, base::TimePoint now) {
-  // A report is some time old: one from before the last order must not undo what is known of it.
+  // Reports are delayed: one from before the last order must not undo the effects of that order.
   const bool current = report.orderCount >= orderCount || now >= orderFinishedAt + kReportAge;
   reportFresh = current;
   if (!current) {
@@ -83,7 +84,7 @@
   std::vector<std::string> inMemory = std::move(reported_.inMemory);
   std::vector<std::string> onDisk = std::move(reported_.onDisk);
   reported_ = report.holdings;
-  // On their way, but they take their places already.
+  // Adapters in transfer occupy their slots already.
   for (const std::string& pending : report.pendingAdapters) {
     const std::size_t slash = pending.find('/');
     if (slash != std::string::npos) {
--- a/test/registry/cell_keeper_test.cpp
+++ b/test/registry/cell_keeper_test.cpp
@@ -1,4 +1,4 @@
-/// Which membership change is due.
+/// Tests of CellKeeper: which membership change is due.
 
 #include "registry/cell_keeper.h"
 
@@ -92,7 +92,7 @@
   for (const Member& one : cell.members) {
     CHECK_TRUE(one.id.value != 4 && one.id.value != 5);
   }
-  // A majority of four is three: more than the two disks that may be lost.
+  // A majority of four voters is three, more than the two disks that may be lost.
   CHECK_EQUAL(4, fewest);
 }
 
--- a/test/registry/cell_state_test.cpp
+++ b/test/registry/cell_state_test.cpp
@@ -1,4 +1,4 @@
-/// The replicated state.
+/// Tests of CellState, the replicated state.
 
 #include "registry/cell_state.h"
 
@@ -71,7 +71,7 @@
   CHECK_FALSE(restored.requestCrashes().has(RequestDigest{}, {"w2"}));
 }
 
-/// A snapshot of before there was any such evidence is read as well.
+/// Snapshots of builds without such evidence must stay readable.
 TEST(CellStateTest, withoutEvidenceTheSnapshotHasNoBytesOfIt) {
   state.apply(StoreDocument{5, "five"});
   const std::string without = state.encode();
@@ -122,7 +122,7 @@
   CHECK_EQUAL(1, restored.zoneChanges());
 }
 
-/// A server of an earlier build takes the snapshot of a cell whose level has not risen.
+/// A server of an earlier build must be able to read the snapshot of a cell at level 0.
 TEST(CellStateTest, aSnapshotBeforeTheFirstLevelHasNothingNew) {
   state.apply(StoreDocument{5, "five"});
   const std::string bytes = state.encode();
--- a/test/registry/cluster.h
+++ b/test/registry/cluster.h
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// Several registry servers in virtual time, over a network that can be cut and disks that can be
-/// lost.
+/// Simulated cell of registry servers in virtual time, with network partitions and lost disks.
 
 #include <map>
 #include <memory>
@@ -31,15 +30,15 @@
   }
 };
 
-/// Servers are numbered by their port. Messages take a millisecond; connections are numbered by the
-/// servers at their ends and never end.
+/// Simulated cell of registry servers. Servers are numbered by their port. Messages take one
+/// millisecond; connections are numbered by the servers at both ends and never close.
 class Cluster {
  public:
   explicit Cluster(std::uint32_t tolerableLosses) : losses_(tolerableLosses) {}
 
   static base::Endpoint endpoint(std::uint16_t port) { return {"10.0.0.1", port}; }
 
-  /// @param founders ports of the servers that found the cell; empty: it asks `seeds` to join.
+  /// @param founders ports of the founding servers; empty: the server asks `seeds` to join.
   void start(std::uint16_t port, std::uint64_t identity, const std::vector<std::uint16_t>& founders,
              const std::vector<std::uint16_t>& seeds) {
     Node& node = nodes_[port];
@@ -68,17 +67,17 @@
       }
     }
   }
-  /// What the server's build knows, from its next start on.
+  /// Sets the feature level of the server's build, from its next start on.
   void setFeatureLevel(std::uint16_t port, std::uint32_t level) { levels_[port] = level; }
   void stop(std::uint16_t port) { nodes_.at(port).registry.reset(); }
   void loseDisk(std::uint16_t port) { nodes_.at(port).disk = {}; }
   void cut(std::uint16_t port) { cut_.insert(port); }
-  /// Its machine stands still; what it is sent waits.
+  /// Suspends the server's machine; messages to it are delayed until `wake`.
   void suspend(std::uint16_t port) { suspended_.insert(port); }
   void wake(std::uint16_t port) { suspended_.erase(port); }
   void heal(std::uint16_t port) { cut_.erase(port); }
 
-  /// Makes a call at a server and runs until it is answered.
+  /// Makes a call to a server and runs until it is answered, or for 5 s.
   ControlAnswer call(std::uint16_t port, ControlCall body) {
     const std::uint64_t number = ++lastCall_;
     nodes_.at(port).registry->step(now_, CallReceived{number, std::move(body)});
@@ -89,7 +88,7 @@
     }
     return answers_.count(number) == 0 ? ControlAnswer{} : answers_.at(number);
   }
-  /// Repeats a call at a server until it is done or the time is up.
+  /// Repeats a call to a server until it is done or the time has passed.
   bool callUntilDone(std::uint16_t port, const ControlCall& body, base::Duration patience) {
     const base::TimePoint limit = now_ + patience;
     while (now_ < limit) {
@@ -130,7 +129,7 @@
     return fences_;
   }
 
-  /// A gateway tells a server something. @return the messages that came back within that time.
+  /// Sends a message of a gateway to a server. @return the messages sent back within that time.
   std::vector<MessageBody> say(std::uint16_t port, MessageBody body,
                                base::Duration patience = std::chrono::seconds(1)) {
     toGateway_.clear();
@@ -145,7 +144,7 @@
                                      base::Duration patience = std::chrono::seconds(1)) {
     return say(port, Subscribe{}, patience);
   }
-  /// A worker's heartbeat; it holds `models`.
+  /// @return a heartbeat of a worker that holds `models`.
   static ReportAlive alive(const char* id, std::uint64_t sequence, bool leaving,
                            std::initializer_list<const char*> models) {
     Heartbeat heartbeat;
@@ -172,7 +171,7 @@
     protocol::Message message;
   };
 
-  /// `to` hears the Hello of `from`.
+  /// Delivers the Hello of `from` to `to`.
   void greet(std::uint16_t from, std::uint16_t to) {
     protocol::Hello hello;
     hello.role = protocol::PeerRole::controller;
@@ -204,7 +203,7 @@
       if (lost || found == nodes_.end() || !found->second.registry) {
         continue;
       }
-      // The connection is numbered as the receiver sees it: by whom it answers.
+      // The connection has the number under which the receiver would answer.
       found->second.registry->step(
           now_, LinkReceived{connection(message.to, message.from), std::move(message.message)});
       settle(message.to);
@@ -269,7 +268,7 @@
   runtime::NullEventLog log_;
   base::TimePoint now_ = base::TimePoint(std::chrono::seconds(1000));
   std::map<std::uint16_t, Node> nodes_;
-  std::map<std::uint16_t, std::uint32_t> levels_;  ///< Of builds of another level than this one.
+  std::map<std::uint16_t, std::uint32_t> levels_;  ///< Feature levels that differ from this build.
   std::set<std::uint16_t> cut_;
   std::set<std::uint16_t> suspended_;
   std::vector<InFlight> network_;
--- a/test/registry/crash_monitor_test.cpp
+++ b/test/registry/crash_monitor_test.cpp
@@ -1,4 +1,4 @@
-/// What counts as the crash of a worker, and which requests gateways are told of.
+/// Tests of CrashMonitor: what counts as a worker crash, and the standings of suspect requests.
 
 #include "registry/crash_monitor.h"
 
@@ -76,7 +76,7 @@
       commit();
     }
   }
-  /// The worker is heard, has the requests, and is not heard again.
+  /// Lets the worker make contact, then crash with these requests.
   void crash(const char* worker, const std::vector<RequestDigest>& requests) {
     heard(worker);
     cut(worker, requests);
@@ -161,7 +161,7 @@
   checkStanding(kOther, std::nullopt);
 }
 
-/// They would come again together, be cut together again, and could not be told apart.
+/// Suspects that are retried together would be cut together again and could not be told apart.
 TEST(CrashMonitorTest, suspectsOfTheSameCrashesRunInTurns) {
   RequestDigest first = digest(1);
   RequestDigest second = digest(2);
@@ -187,7 +187,7 @@
   checkStanding(second, RequestStanding::suspected);
 }
 
-/// Beside other suspects, which come again meanwhile.
+/// The other suspects are retried meanwhile and may turn out to be the cause.
 TEST(CrashMonitorTest, theVerdictOnAThirdCrashWaitsForThoseBeside) {
   crash("w1", {kRequest, kOther});
   crash("w2", {kRequest, kOther});
--- a/test/registry/document_cache_test.cpp
+++ b/test/registry/document_cache_test.cpp
@@ -1,4 +1,4 @@
-/// Documents that were read lately.
+/// Tests of DocumentCache.
 
 #include "registry/document_cache.h"
 
--- a/test/registry/document_sender_test.cpp
+++ b/test/registry/document_sender_test.cpp
@@ -1,4 +1,4 @@
-/// How documents reach gateways.
+/// Tests of DocumentSender.
 
 #include "registry/document_sender.h"
 
@@ -31,7 +31,7 @@
   static DocumentCursor cursorAfter(const DocumentPart& part) {
     return {part.version, part.baseVersion, part.hash, part.offset + part.bytes.size()};
   }
-  /// Acknowledges all parts until nothing more comes. @return the bytes that came.
+  /// Acknowledges all parts until no more are sent. @return their bytes.
   std::string drain(protocol::ConnectionId gateway) {
     std::string bytes;
     base::TimePoint now = start;
@@ -88,7 +88,7 @@
   CHECK_EQUAL(1, sender.takeParts(start + 20ms).size());
 }
 
-/// The work of a turn does not grow with the gateways.
+/// The work of one event loop iteration must not grow with the number of gateways.
 TEST(DocumentSenderTest, aFewPartsGoAtATimeHoweverManyGatewaysWait) {
   sender.setDocument(document(4, 4000));
   for (std::uint64_t gateway = 1; gateway <= 400; ++gateway) {
@@ -116,7 +116,7 @@
   CHECK_EQUAL(0, sender.takeParts(start).at(0).part.offset);
 }
 
-/// Else changes in quick succession would starve a gateway on a slow link.
+/// Otherwise changes in quick succession would starve a gateway on a slow link.
 TEST(DocumentSenderTest, aTransferIsFinishedBeforeANewerDocumentIsSent) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
@@ -137,7 +137,7 @@
   CHECK_EQUAL(0, sender.takeParts(start + 10ms).at(0).part.offset);
 }
 
-/// A change of a document is some hundred bytes: a large fleet has it within a second.
+/// A delta takes some hundred bytes, so that a large fleet must receive it within a second.
 TEST(DocumentSenderTest, manySmallDeltasGoAtATime) {
   sender.setDocument(document(4, 10));
   constexpr std::uint64_t kGateways = 1000;
--- a/test/registry/heartbeat_relay_test.cpp
+++ b/test/registry/heartbeat_relay_test.cpp
@@ -1,5 +1,5 @@
-/// Heartbeats that any server takes: a cell of thousands of workers must not have its leader read
-/// each of them.
+/// Tests of HeartbeatRelay: any server acknowledges heartbeats, as the leader of a cell with
+/// thousands of workers can't parse all of them.
 
 #include "registry/heartbeat_relay.h"
 
@@ -22,7 +22,7 @@
   static Heartbeat beat(const char* id, std::uint64_t sequence, const char* model = "m") {
     return Cluster::alive(id, sequence, false, {model}).heartbeat;
   }
-  /// @return what the leader is told now; empty if nothing is due.
+  /// @return the batch for the leader; empty if none is due.
   HeartbeatBatch batch() { return relay.takeBatch(now).value_or(HeartbeatBatch{}); }
   void setup() override { state.apply(StoreWorker{beat("w", 1).worker}); }
 };
@@ -91,7 +91,7 @@
   CHECK_TRUE(relay.takeBatch(now) == std::nullopt);
 }
 
-/// All workers of a server after a change of leader.
+/// After a change of leader all workers of a server are reported in full.
 TEST(HeartbeatRelayTest, manyAreToldInSeveralBatches) {
   constexpr std::size_t kWorkers = 150;
   for (std::size_t index = 0; index < kWorkers; ++index) {
@@ -132,7 +132,7 @@
   ControlAnswer beat(std::uint16_t port) {
     return cluster.call(port, Cluster::alive("w", ++sequence, false, {"m"}));
   }
-  /// @return what a new gateway is told of the worker.
+  /// @return the view of the worker that is sent to a new gateway.
   std::optional<WorkerView> told() {
     ViewDecoder decoder;
     std::optional<WorkerView> view;
@@ -167,7 +167,7 @@
   CHECK_TRUE(told()->silent);
 }
 
-/// What it takes would be acknowledged, and its worker held to be silent.
+/// Such a heartbeat would be acknowledged while the leader considers its worker unresponsive.
 TEST(HeartbeatRelayClusterTest, aServerThatIsCutOffTakesNone) {
   cluster.cut(other);
   cluster.run(1s);
@@ -196,7 +196,7 @@
   CHECK_EQUAL(1, told()->models.size());
 }
 
-/// It would not know the message.
+/// A leader of an earlier build does not support HeartbeatBatch.
 TEST(HeartbeatRelayClusterTest, aLeaderOfAnEarlierBuildIsForwardedEachHeartbeat) {
   Cluster mixed{2};
   const std::vector<std::uint16_t> seeds = {1, 2, 3};
--- a/test/registry/leader_duties_kit.h
+++ b/test/registry/leader_duties_kit.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A leader's duties, with workers and gateways played by the test.
+/// Fixture of LeaderDuties tests, which simulate the workers and gateways.
 
 #include <algorithm>
 #include <initializer_list>
@@ -25,7 +25,7 @@
 inline constexpr base::Duration kLease = 3s;
 inline constexpr protocol::ConnectionId kGateway{1};
 
-/// A service "svc" with models a and b, whatever the text.
+/// Returns a document with a service "svc" and models a and b, whatever the text.
 class EngineReader : public DocumentReader {
  public:
   base::Result<catalog::Document> read(const std::string& /*text*/) const override {
@@ -51,6 +51,7 @@
   }
 };
 
+/// Records the events written to the log, without their fields.
 struct EventNames : runtime::EventLog {
   std::vector<runtime::LogEvent> lines;
   void write(runtime::LogEvent event, std::initializer_list<runtime::EventField>) override {
@@ -58,7 +59,7 @@
   }
 };
 
-/// Base of test groups.
+/// Base class of test groups: runs a leader in virtual time.
 class LeaderDutiesKit : public Utest {
  public:
   EngineReader reader;
@@ -71,9 +72,9 @@
   std::unique_ptr<LeaderDuties> duties;
   std::vector<RegistryAction> actions;
   bool leaseValid = true;
-  bool recordsOrders = true;  ///< The log takes what is proposed.
+  bool recordsOrders = true;  ///< True if the log commits proposed orders.
   std::uint64_t sequence = 0;
-  std::map<WorkerId, Holdings> holdings;  ///< That workers told of.
+  std::map<WorkerId, Holdings> holdings;  ///< Holdings in the last heartbeats.
   ViewDecoder decoder;
   std::map<WorkerId, bool> failingTold;
 
@@ -92,7 +93,7 @@
     duties = std::make_unique<LeaderDuties>(options, documents, state, kTerm, kSelf, log, now,
                                             turns, lastTurnAt);
   }
-  /// Runs the leader; its commands are applied at once.
+  /// Runs the leader and applies its commands immediately.
   void run(base::Duration duration) {
     const base::TimePoint end = now + duration;
     for (; now < end; now += 10ms) {
@@ -115,7 +116,7 @@
     }
     duties->stateChanged(now);
   }
-  /// @return the workers that were ordered.
+  /// @return the workers that were sent orders, in order.
   std::vector<std::string> ordered() const {
     std::vector<std::string> workers;
     for (const RegistryAction& action : actions) {
@@ -125,7 +126,7 @@
     }
     return workers;
   }
-  /// Runs the leader, whose questions for reports are answered at once.
+  /// Runs the leader and answers its requests for reports immediately.
   void runAnswering(base::Duration duration) {
     for (const base::TimePoint end = now + duration; now < end;) {
       run(50ms);
@@ -157,7 +158,7 @@
       }
     }
   }
-  /// The worker's heartbeat says that it holds the model.
+  /// Sends a heartbeat of the worker that holds the model.
   void hold(const char* worker, const char* model, std::vector<std::string> adapters = {}) {
     Heartbeat heartbeat;
     heartbeat.worker = *state.findWorker({worker});
@@ -167,7 +168,7 @@
     holdings[heartbeat.worker.id] = heartbeat.holdings;
     duties->heartbeat(heartbeat, now);
   }
-  /// @return whether the last view told of the worker says that it fails.
+  /// @return true if the worker is failing according to the last view with it.
   bool toldFailing(const WorkerId& worker) {
     for (const RegistryAction& action : std::exchange(actions, {})) {
       const auto* sent = std::get_if<control::SendToConnection>(&action);
--- a/test/registry/leader_duties_test.cpp
+++ b/test/registry/leader_duties_test.cpp
@@ -1,4 +1,4 @@
-/// When a leader orders workers, and what it must know before.
+/// Tests of LeaderDuties: order lease, reports, failing workers, views and heartbeats.
 
 #include "registry/leader_duties_kit.h"
 
@@ -66,7 +66,7 @@
   const base::ServerId last =
       state.lastOrderedBy({"w1"}) == kSelf ? kSelf : state.lastOrderedBy({"w2"});
   CHECK_TRUE(last == kSelf);
-  // The log took too long: the order is planned and recorded again.
+  // The log entry was committed too late: the order is planned and recorded again.
   recordsOrders = true;
   runAnswering(2s);
   CHECK_EQUAL(1, count<SendOrder>());
@@ -112,7 +112,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-/// Guards against a first leader that loads as though another had used the store before it.
+/// Guards against a first leader that assumes loads of a previous leader and wastes the burst.
 TEST(LeaderDutiesTest, theFirstLeaderOfACellBeginsWithTheBurstOfTheStore) {
   state.apply(StoreOrderHolder{});
   lead();
@@ -128,7 +128,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-/// Guards against the time in which nobody may order being lost to the store's rate.
+/// Guards against losing the store's rate during the time in which no server may send orders.
 TEST(LeaderDutiesTest, theTimeWithoutOrdersBeforeATurnCountsForTheStoreRate) {
   lead(now - 1s);
   run(kLease);
@@ -162,7 +162,7 @@
 
 namespace {
 
-/// What three gateways saw of a worker: it failed all that they sent.
+/// Reports, for three gateways, that a worker failed all their requests.
 void reportFailures(LeaderDuties& duties, const char* worker, base::TimePoint now) {
   for (std::uint64_t gateway = 1; gateway <= 3; ++gateway) {
     DemandUpdate update;
@@ -173,7 +173,7 @@
 
 }  // namespace
 
-/// Its heartbeats say that it is well and that it holds the model.
+/// The failing worker's heartbeats report that it is healthy and holds the model.
 TEST(LeaderDutiesTest, aModelThatOnlyAFailingWorkerHoldsIsLoadedElsewhereOnceItIsWaitedFor) {
   lead();
   hold("w1", "a");
@@ -225,7 +225,7 @@
   CHECK_FALSE(toldFailing({"w1"}));
 }
 
-/// A leader that is cut off does not know what another one has acknowledged since.
+/// A partitioned leader does not know what another leader has acknowledged since.
 TEST(LeaderDutiesTest, withoutAValidLeaseGatewaysAreToldNothing) {
   lead();
   duties->subscribe(kGateway, {});
@@ -252,8 +252,8 @@
   CHECK_TRUE(views == std::vector<bool>({true, false}));
 }
 
-/// Seen in the fleet's seed 11: parts that came before the first view were not taken, and as
-/// nothing acknowledged them, no more came.
+/// Guards against sending document parts before the first view: gateways don't take them, and
+/// without their acknowledgement no more parts are sent.
 TEST(LeaderDutiesTest, amongManyGatewaysEachIsToldTheViewBeforeTheDocument) {
   constexpr std::uint64_t kGateways = 40;
   lead();
@@ -277,8 +277,8 @@
   CHECK_EQUAL(kGateways, parts);
 }
 
-/// A heartbeat that a cut delayed arrives after its sender has crashed and a new incarnation has
-/// registered at the same address.
+/// A heartbeat delayed by a network partition arrives after its sender has crashed and a new
+/// incarnation has registered at the same address.
 TEST(LeaderDutiesTest, aLateHeartbeatOfAFormerIncarnationDoesNotEndThePresentOne) {
   lead();
   Heartbeat present;
--- a/test/registry/leader_troubles_test.cpp
+++ b/test/registry/leader_troubles_test.cpp
@@ -1,4 +1,4 @@
-/// A leader that was suspended, and models whose loads end their workers.
+/// Tests of a leader that was suspended, and of models whose loads crash their workers.
 
 #include "registry/leader_duties_kit.h"
 
@@ -13,7 +13,7 @@
 hold("w2", "b");
 runAnswering(1s);
 }
-/// Time passes in which nothing runs.
+/// Advances the time while nothing runs.
 void sleep(base::Duration duration) { now += duration; }
 bool toldSilent() const {
   return std::any_of(log.lines.begin(), log.lines.end(), [](runtime::LogEvent event) {
@@ -64,7 +64,7 @@
 
 TEST_GROUP_BASE(EndingLoadTest, LeaderDutiesKit){};
 
-/// A model that ends each worker that loads it, as somebody asks for it all the time.
+/// The model crashes each worker that loads it, and is requested all the time.
 TEST(EndingLoadTest, aModelWhoseLoadsEndTheirWorkersIsLoadedEverMoreSeldom) {
   lead();
   hold("w1", "b");
@@ -81,7 +81,7 @@
       }
       ++loads;
       duties->orderFinished({order->order, OrderOutcome::accepted}, now);
-      // It ends, and is back at once under another id.
+      // The worker crashes and restarts immediately under another id.
       WorkerRecord next = order->worker;
       next.id = {"next" + std::to_string(loads)};
       state.apply(StoreWorker{next});
--- a/test/registry/recorded_messages_test.cpp
+++ b/test/registry/recorded_messages_test.cpp
@@ -1,5 +1,5 @@
-/// Bytes that the builds of 53bb35c and 54aa6e6 sent: today's build writes the same to them, and
-/// reads what they write.
+/// Compatibility tests with bytes recorded from the builds of commits 53bb35c and 54aa6e6: this
+/// build encodes the same bytes for them and decodes theirs.
 
 #include <string>
 
@@ -78,7 +78,7 @@
 }  // namespace
 
 TEST_GROUP(RecordedMessagesTest){
-    /// It is read, and written again as it was.
+    /// Checks that the message is decoded, and encoded to the same bytes again.
     static void checkRead(const char* recorded){
         const auto message = protocol::decodeMessage(bytesOf(recorded));
 CHECK_TRUE(message.has_value());
@@ -100,7 +100,7 @@
   STRCMP_EQUAL(kViewUpdate, encoded(view()).c_str());
 }
 
-/// The limit of a worker is not told to a gateway that has not said that it reads it.
+/// The limit of a worker is not sent to a gateway that has not announced support for it.
 TEST(RecordedMessagesTest, aViewForAnEarlierBuildIsAsItWas) {
   ViewUpdate update = view();
   update.changed[0].limit = 2;
--- a/test/registry/registry_cluster_test.cpp
+++ b/test/registry/registry_cluster_test.cpp
@@ -1,4 +1,4 @@
-/// A cell of registry servers under failures.
+/// Tests of a cell of registry servers under failures.
 
 #include "registry/cluster.h"
 
@@ -19,7 +19,7 @@
 TEST_GROUP(RegistryClusterTest) {
   Cluster cluster{2};
 
-  /// Three founders and two servers that join them.
+  /// Starts three founders and two servers that join them.
   void startFive() {
     for (const std::uint16_t port : kSeeds) {
       cluster.start(port, port, kSeeds, kSeeds);
@@ -152,7 +152,7 @@
   cluster.run(1s);
   cluster.start(6, 6, {}, {1, 2, 3});
   cluster.run(4s);
-  // Two more may be lost now.
+  // The cell tolerates two more losses now.
   cluster.stop(1);
   cluster.stop(2);
   cluster.run(3s);
@@ -169,14 +169,15 @@
   CHECK_TRUE(cluster.callUntilDone(4, Cluster::alive("w", 1, false, {}), 5s));
 }
 
-/// What a server has applied may be older than what was acknowledged.
+/// Guards against stale views: the state that a follower has applied may be older than what was
+/// acknowledged.
 TEST(RegistryClusterTest, onlyTheLeaderTellsGatewaysOfADocument) {
   startFive();
   declare(1, "1 one");
   cluster.run(2s);
   const std::uint16_t leader = *cluster.leader();
   std::vector<std::uint16_t> ports = {1, 2, 3, 4, 5};
-  // The leader last: it goes on telling.
+  // The leader comes last, as it keeps sending updates.
   std::erase(ports, leader);
   ports.push_back(leader);
   for (const std::uint16_t port : ports) {
@@ -188,7 +189,7 @@
   }
 }
 
-/// After a restart a server's own state is its snapshot, until a leader has committed an entry.
+/// After a restart a server has only the state of its snapshot until a leader commits an entry.
 TEST(RegistryClusterTest, aServerThatRestartedAloneTellsGatewaysNothing) {
   startFive();
   declare(1, "1 one");
@@ -203,14 +204,14 @@
 }
 
 TEST_GROUP_BASE(QuarantineClusterTest, TEST_GROUP_CppUTestGroupRegistryClusterTest){
-    /// A gateway tells of a request that was cut at three workers which are gone.
+    /// Reports a request that was cut at three workers which have ended.
     void quarantine(){CutReport report;
 for (const char* id : {"w1", "w2", "w3"}) {
   report.cuts.push_back({RequestDigest{}, {id}, false, 0s});
 }
 (void)cluster.say(*cluster.leader(), report);
 }
-/// Checks that the leader tells a new gateway of it before anything else.
+/// Checks that the leader sends a new gateway the quarantine before anything else.
 void checkToldFirst() {
   const std::vector<MessageBody> told = cluster.subscribe(*cluster.leader());
   CHECK_FALSE(told.empty());
@@ -257,7 +258,7 @@
   }
 }
 
-/// What a leader is asked first after it was suspended, it answers by a lease that has ended.
+/// Guards against a resumed leader that answers its first message under an expired lease.
 TEST(RegistryClusterTest, aLeaderThatWasSuspendedTellsGatewaysNothing) {
   startFive();
   cluster.run(5s);
@@ -314,7 +315,7 @@
   CHECK(!confirmedVersion(cluster.say(leader, ConfirmDocument{3}, 200ms)));
 }
 
-/// The question comes before it has heard that another server leads.
+/// The query arrives before the resumed server learns that another one leads.
 TEST(RegistryClusterTest, aLeaderThatWasSuspendedConfirmsNothingOlderThanWhatWasAcknowledged) {
   startFive();
   cluster.run(5s);
--- a/test/registry/unreadable_entry_test.cpp
+++ b/test/registry/unreadable_entry_test.cpp
@@ -1,5 +1,5 @@
-/// An entry that a build can't read must not be passed over: the server's state would differ from
-/// the others', and nobody would know.
+/// Tests of log entries that a build can't decode. Skipping one would let the server's state
+/// diverge from the others' unnoticed.
 
 #include "registry/cell_state.h"
 #include "registry/cluster.h"
@@ -20,7 +20,7 @@
   simulator::StoredLog disk;
   base::TimePoint now = base::TimePoint(1000s);
 
-  /// Runs a server alone, whose log holds that command. @return what it can't read.
+  /// Runs a single server whose log has that command. @return its decoding error, if any.
   std::optional<base::Error> runWith(const std::string& command) {
     consensus::Membership alone;
     alone.members.push_back(
--- a/test/registry/view_codec_test.cpp
+++ b/test/registry/view_codec_test.cpp
@@ -1,4 +1,4 @@
-/// Views as they go over the wire.
+/// Tests of ViewEncoder and ViewDecoder.
 
 #include "walnut/registry/view_codec.h"
 
@@ -79,7 +79,7 @@
   told(change);
 }
 
-/// 245 workers change some 100 times a second and are told to 300 gateways.
+/// 245 workers have some 100 changes per second, each of which is sent to 300 gateways.
 TEST(ViewCodecTest, aChangeTakesFewBytes) {
   told(complete());
   ViewUpdate change;
@@ -115,7 +115,7 @@
   told(change);
 }
 
-/// Builds that know nothing of limits take the bytes that they always took.
+/// Builds without support for limits must get the same bytes as before.
 TEST(ViewCodecTest, aGatewayOfAnEarlierBuildIsToldNothingOfLimits) {
   const ViewUpdate without = complete();
   ViewUpdate with = without;
@@ -156,7 +156,7 @@
   CHECK_TRUE(fresh.decode(bytes + "x").has_error());
 }
 
-/// A gateway that has missed a view can't read the next one as if it had not.
+/// A gateway that missed a view must not decode the next one as if it had received both.
 TEST(ViewCodecTest, aNameThatWasNotToldIsRefused) {
   (void)encoder.encode(complete(), cursor);
   ViewUpdate change;
--- a/test/registry/view_interest_test.cpp
+++ b/test/registry/view_interest_test.cpp
@@ -1,5 +1,5 @@
-/// A fleet of thousands of workers and gateways, of which each gateway sees few requests: it hears
-/// of the workers that it has a use for, not of all.
+/// Tests of ViewInterest and of ViewPublisher in a fleet of thousands of workers and gateways, in
+/// which each gateway is sent only the workers that it needs.
 
 #include "registry/view_interest.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr protocol::ConnectionId kGateway{8};
-constexpr protocol::ConnectionId kOther{16};  ///< Of the same group.
+constexpr protocol::ConnectionId kOther{16};  ///< A gateway of the same group.
 
 std::string name(const char* prefix, std::size_t number) { return prefix + std::to_string(number); }
 
@@ -195,7 +195,7 @@
   std::vector<ViewPublisher::Update> updates(base::TimePoint now) {
     return publisher.takeUpdates(now, 1, 1, loads, {});
   }
-  /// A gateway asks for the model. @return one of the workers that it is told of.
+  /// Requests the model at a gateway. @return one of the workers that the gateway is sent.
   WorkerId askFor(std::uint64_t gateway, base::TimePoint now) {
     publisher.asked({gateway}, kModel, true, now);
     for (const auto& sent : updates(now)) {
@@ -205,7 +205,7 @@
     }
     return {};
   }
-  /// All gateways get their first view. @return when that is done, and nothing else is due.
+  /// Sends all gateways their first view. @return the time when nothing else is due.
   base::TimePoint tellAll() {
     base::TimePoint now = start;
     for (std::size_t round = 0; round < kGateways; ++round) {
@@ -243,7 +243,7 @@
   publisher.setWorker(worker("w-new", "a", {{"other", 1, {}}}));
   const auto sent = updates(now + 1ms);
   CHECK_EQUAL(1, sent.size());
-  CHECK_EQUAL(2, sent.front().update.changed.size());  // And the one that replaces it.
+  CHECK_EQUAL(2, sent.front().update.changed.size());  // The worker and its replacement.
 }
 
 TEST(LargeViewPublisherTest, aWorkerThatEndedIsToldToThoseWhoFollowedIt) {
@@ -296,8 +296,7 @@
   CHECK_EQUAL(kGateways, told.size());
 }
 
-/// Else the loop would hold up consensus with each document, the longer the more gateways there
-/// are.
+/// Otherwise each document would delay consensus in proportion to the number of gateways.
 TEST(LargeViewPublisherTest, oneTurnTellsABoundedNumber) {
   const base::TimePoint now = tellAll();
   CHECK_TRUE(publisher.takeUpdates(now, 1, 2, loads, {}).size() <= 64);
@@ -309,7 +308,7 @@
   CHECK_FALSE(publisher.due(now, 1));
 }
 
-/// It has been told of all workers while there were few.
+/// A gateway was sent all workers while the fleet was small.
 TEST(LargeViewPublisherTest, whatAGatewayKnowsFromBeforeIsKeptUpToDate) {
   ViewPublisher growing{250ms};
   growing.subscribe({1}, {"a"});
--- a/test/registry/view_publisher_test.cpp
+++ b/test/registry/view_publisher_test.cpp
@@ -1,4 +1,4 @@
-/// What gateways are sent.
+/// Tests of ViewPublisher while gateways follow all workers.
 
 #include "registry/view_publisher.h"
 
@@ -37,7 +37,7 @@
   CHECK_EQUAL(kVersion, sent[0].update.documentVersion);
 }
 
-/// Gateways that start together must not hold up the loop.
+/// Gateways that start together must not block the event loop.
 TEST(ViewPublisherTest, completeUpdatesAreMadeAFewAtATime) {
   constexpr std::uint64_t kGateways = 20;
   for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
@@ -129,7 +129,7 @@
   CHECK_EQUAL(2, updates(start + 500ms)[0].update.servers.size());
 }
 
-/// Else each gateway that comes would be an update to all others.
+/// Otherwise each new gateway would cause an update to all others.
 TEST(ViewPublisherTest, theCountOfGatewaysIsToldAtOnceOnlyIfItGrewMuch) {
   for (std::uint64_t gateway = 1; gateway <= 4; ++gateway) {
     publisher.subscribe({gateway});
--- a/test/registry/worker_lives_test.cpp
+++ b/test/registry/worker_lives_test.cpp
@@ -1,5 +1,5 @@
-/// A worker that starts again under the name that it had: nothing that was known of its former life
-/// counts for the present one, and what comes late from that changes nothing.
+/// Tests of a worker that restarts under the same name: no state of the previous incarnation
+/// applies to the present one, and late messages of the previous one change nothing.
 
 #include "registry/leader_duties_kit.h"
 #include "walnut/registry/view_codec.h"
@@ -29,7 +29,7 @@
     }
     return heartbeat;
   }
-  /// The heartbeat comes, and its record is committed if it has to be.
+  /// Delivers the heartbeat, and commits the worker's record if that is required.
   bool hear(const Heartbeat& heartbeat) {
     const bool stores = duties->heartbeat(heartbeat, now);
     if (stores) {
@@ -67,7 +67,7 @@
   CHECK(present()->id == workerIdOf("w", kSecondBorn));
 }
 
-/// The new leader has not heard either of them.
+/// The new leader had no contact with either incarnation.
 TEST(WorkerLivesTest, aNewLeaderIsNotTakenInByALateHeartbeatEither) {
   state.apply(StoreWorker{life(kSecondBorn)});
   lead();
@@ -75,7 +75,7 @@
   CHECK(present()->id == workerIdOf("w", kSecondBorn));
 }
 
-/// Two proposals may be committed in another order than they were made in.
+/// Two proposals may be committed in a different order than they were made.
 TEST(WorkerLivesTest, anEarlierLifeThatIsCommittedLaterIsNotAdded) {
   state.apply(StoreWorker{life(kSecondBorn)});
   state.apply(StoreWorker{life(kFirstBorn)});
@@ -117,7 +117,7 @@
   CHECK(times.allowedAt(workerIdOf("w", kSecondBorn), now + 10s, kLease) == before);
 }
 
-/// Three lives of one worker under one request are three crashes.
+/// Three incarnations of one worker that end under one request count as three crashes.
 TEST(WorkerLivesTest, eachLifeThatEndsIsACrashOfItsOwn) {
   const RequestDigest request{};
   RequestCrashLedger ledger;
@@ -151,7 +151,7 @@
   STRCMP_EQUAL("w", told.changed.at(0).record.calledName().c_str());
 }
 
-/// What another writer sends must not move a worker out of its service.
+/// A foreign sender must not move a worker out of its service.
 TEST(WorkerLivesTest, aHeartbeatOfAnUnknownServiceHarmsNobody) {
   lead();
   hear(beat(kFirstBorn, 1));
--- a/test/registry/zone_evacuation_test.cpp
+++ b/test/registry/zone_evacuation_test.cpp
@@ -1,4 +1,4 @@
-/// The operator has a zone evacuated: durable, idempotent, told to gateways, and known to
+/// Tests of zone evacuations: durable, idempotent, published to gateways and respected by
 /// placement.
 
 #include "registry/cluster.h"
@@ -34,7 +34,7 @@
   void order(std::uint16_t port, const EvacuateZone& change) {
     CHECK_TRUE(cluster.callUntilDone(port, change, 20s));
   }
-  /// @return whether a worker of that zone is out of service, as a new gateway is told.
+  /// @return true if the zone's worker is out of service in the view sent to a new gateway.
   bool toldOutOfService() {
     const std::uint16_t leader = *cluster.leader();
     ViewDecoder decoder;
@@ -113,7 +113,7 @@
   CHECK_TRUE(toldOutOfService());
 }
 
-/// A server that was cut off hands its call on only after the zone has come back.
+/// A partitioned server forwards its call only after the evacuation of the zone has ended.
 TEST(ZoneEvacuationClusterTest, aCallThatComesAfterTheEndChangesNothing) {
   startFive();
   registerWorker();
@@ -135,7 +135,7 @@
   CHECK_TRUE(answer != nullptr && answer->answer.status == ControlStatus::unavailable);
 }
 
-/// Its log would hold an entry that it can't read.
+/// The log of a server of an earlier build would have an entry that it can't decode.
 TEST(ZoneEvacuationClusterTest, itWaitsForServersOfAnEarlierBuild) {
   cluster.setFeatureLevel(1, 0);
   startFive();
@@ -157,7 +157,7 @@
     state.apply(StoreZoneEvacuation{{"zone-a"}, evacuated, state.zoneRevision({"zone-a"})});
 duties->stateChanged(now);
 }
-/// Workers of the views that were sent, and whether they are out of service.
+/// @return the workers in the views that were sent, mapped to true if out of service.
 std::map<WorkerId, bool> told() {
   std::map<WorkerId, bool> leaving;
   for (const RegistryAction& action : std::exchange(actions, {})) {
