--- a/src/registry/cell_keeper.cpp
+++ b/src/registry/membership_policy.cpp
@@ -1,4 +1,4 @@
-#include "registry/cell_keeper.h"
+#include "registry/membership_policy.h"
 
 #include <algorithm>
 
@@ -43,21 +43,21 @@
 
 }  // namespace
 
-bool majorityOutlivesLosses(const Membership& membership, std::uint32_t tolerableLosses) {
+bool majorityExceedsLosses(const Membership& membership, std::uint32_t tolerableLosses) {
   return voterCount(membership) / 2 + 1 > tolerableLosses;
 }
 
-CellKeeper::CellKeeper(const CellKeeperOptions& options, base::TimePoint now)
+MembershipPolicy::MembershipPolicy(const MembershipPolicyOptions& options, base::TimePoint now)
     : options_(options), since_(now) {}
 
-void CellKeeper::requested(const Member& member, const Membership& membership,
-                           base::TimePoint now) {
+void MembershipPolicy::addJoinRequest(const Member& member, const Membership& membership,
+                                      base::TimePoint now) {
   if (find(membership, member.id) != nullptr) {
     return;
   }
   for (const Member& other : membership.members) {
     if (other.peerEndpoint == member.peerEndpoint) {
-      lost_.insert(other.id);
+      lostServers_.insert(other.id);
     }
   }
   std::erase_if(applicants_, [&member](const auto& entry) {
@@ -68,27 +68,29 @@
   applicants_[member.id] = {learner, now};
 }
 
-base::Duration CellKeeper::silenceOf(base::ServerId server, base::TimePoint now) const {
-  const auto found = lastHeard_.find(server);
-  return now - (found == lastHeard_.end() ? since_ : std::max(since_, found->second));
+base::Duration MembershipPolicy::timeSinceContact(base::ServerId server,
+                                                  base::TimePoint now) const {
+  const auto found = lastContact_.find(server);
+  return now - (found == lastContact_.end() ? since_ : std::max(since_, found->second));
 }
 
-std::optional<Membership> CellKeeper::nextChange(const Membership& membership, base::ServerId self,
-                                                 base::TimePoint now) const {
+std::optional<Membership> MembershipPolicy::nextChange(const Membership& membership,
+                                                       base::ServerId self,
+                                                       base::TimePoint now) const {
   if (auto admitted = admission(membership, now)) {
     return admitted;
   }
   if (auto replaced = replacement(membership, self, now)) {
     return replaced;
   }
-  return lapsedLearner(membership, now);
+  return expiredLearner(membership, now);
 }
 
-std::optional<Membership> CellKeeper::admission(const Membership& membership,
-                                                base::TimePoint now) const {
+std::optional<Membership> MembershipPolicy::admission(const Membership& membership,
+                                                      base::TimePoint now) const {
   for (const auto& [id, applicant] : applicants_) {
-    const bool lapsed = now - applicant.requestedAt > options_.requestLifetime;
-    if (!lapsed && find(membership, id) == nullptr) {
+    const bool expired = now - applicant.requestedAt > options_.requestLifetime;
+    if (!expired && find(membership, id) == nullptr) {
       Membership next = membership;
       next.members.push_back(applicant.member);
       return next;
@@ -97,28 +99,29 @@
   return std::nullopt;
 }
 
-std::optional<Membership> CellKeeper::replacement(const Membership& membership, base::ServerId self,
-                                                  base::TimePoint now) const {
+std::optional<Membership> MembershipPolicy::replacement(const Membership& membership,
+                                                        base::ServerId self,
+                                                        base::TimePoint now) const {
   const Member* ready = nullptr;
   const Member* failed = nullptr;
   for (const Member& member : membership.members) {
-    const bool lost = lost_.count(member.id) != 0;
-    const base::Duration silence = silenceOf(member.id, now);
+    const bool lost = lostServers_.count(member.id) != 0;
+    const base::Duration silence = timeSinceContact(member.id, now);
     if (member.role == MemberRole::learner) {
-      const bool heard = lastHeard_.count(member.id) != 0;
-      if (!lost && heard && silence < options_.silenceLimit) {
+      const bool hasContact = lastContact_.count(member.id) != 0;
+      if (!lost && hasContact && silence < options_.voterTimeout) {
         ready = &member;
       }
-    } else if (member.id != self && (lost || silence > options_.silenceLimit)) {
+    } else if (member.id != self && (lost || silence > options_.voterTimeout)) {
       failed = failed == nullptr || lost ? &member : failed;
     }
   }
   if (ready == nullptr) {
     return std::nullopt;
   }
-  const std::size_t wanted = 2 * static_cast<std::size_t>(options_.tolerableLosses) + 1;
+  const std::size_t requiredVoters = 2 * static_cast<std::size_t>(options_.tolerableLosses) + 1;
   const std::size_t voters = voterCount(membership);
-  if (voters < wanted) {
+  if (voters < requiredVoters) {
     return promoted(membership, ready->id);
   }
   if (failed != nullptr) {
@@ -127,13 +130,14 @@
   return std::nullopt;
 }
 
-std::optional<Membership> CellKeeper::lapsedLearner(const Membership& membership,
-                                                    base::TimePoint now) const {
+std::optional<Membership> MembershipPolicy::expiredLearner(const Membership& membership,
+                                                           base::TimePoint now) const {
   for (const Member& member : membership.members) {
     if (member.role != MemberRole::learner) {
       continue;
     }
-    if (lost_.count(member.id) != 0 || silenceOf(member.id, now) > options_.learnerSilenceLimit) {
+    if (lostServers_.count(member.id) != 0 ||
+        timeSinceContact(member.id, now) > options_.learnerTimeout) {
       return without(membership, member.id);
     }
   }
--- a/src/registry/cell_keeper.h
+++ b/src/registry/membership_policy.h
@@ -11,13 +11,13 @@
 
 namespace walnut::registry {
 
-struct CellKeeperOptions {
+struct MembershipPolicyOptions {
   /// Number of disks that may be lost at once. A complete cell has 2 * losses + 1 voters.
   std::uint32_t tolerableLosses = 2;
   /// A voter that was unresponsive for this long is replaced by a learner.
-  base::Duration silenceLimit = std::chrono::seconds(2);
+  base::Duration voterTimeout = std::chrono::seconds(2);
   /// A learner that was unresponsive for this long is removed.
-  base::Duration learnerSilenceLimit = std::chrono::seconds(30);
+  base::Duration learnerTimeout = std::chrono::seconds(30);
   /// A join request expires after this time; servers repeat it while they need it.
   base::Duration requestLifetime = std::chrono::milliseconds(1500);
 };
@@ -26,16 +26,16 @@
 /// Invariants: a voter is removed only while a learner can replace it at once, and never so that
 /// fewer than 2 * losses voters are left, so that each majority has more members than disks may be
 /// lost.
-class CellKeeper {
+class MembershipPolicy {
  public:
-  CellKeeper(const CellKeeperOptions& options, base::TimePoint now);
+  MembershipPolicy(const MembershipPolicyOptions& options, base::TimePoint now);
 
   /// Records contact with a server.
-  void heard(base::ServerId server, base::TimePoint now) { lastHeard_[server] = now; }
+  void recordContact(base::ServerId server, base::TimePoint now) { lastContact_[server] = now; }
   /// Records the join request of a server that is not in the membership. If its endpoint is that of
   /// a member, that member has lost its disk.
-  void requested(const consensus::Member& member, const consensus::Membership& membership,
-                 base::TimePoint now);
+  void addJoinRequest(const consensus::Member& member, const consensus::Membership& membership,
+                      base::TimePoint now);
 
   /// @return the next membership, which differs from the present one by one member; nothing if no
   /// change is due.
@@ -48,22 +48,22 @@
     base::TimePoint requestedAt;
   };
 
-  base::Duration silenceOf(base::ServerId server, base::TimePoint now) const;
+  base::Duration timeSinceContact(base::ServerId server, base::TimePoint now) const;
   std::optional<consensus::Membership> admission(const consensus::Membership& membership,
                                                  base::TimePoint now) const;
   std::optional<consensus::Membership> replacement(const consensus::Membership& membership,
                                                    base::ServerId self, base::TimePoint now) const;
-  std::optional<consensus::Membership> lapsedLearner(const consensus::Membership& membership,
-                                                     base::TimePoint now) const;
+  std::optional<consensus::Membership> expiredLearner(const consensus::Membership& membership,
+                                                      base::TimePoint now) const;
 
-  const CellKeeperOptions options_;
+  const MembershipPolicyOptions options_;
   const base::TimePoint since_;
-  std::map<base::ServerId, base::TimePoint> lastHeard_;
+  std::map<base::ServerId, base::TimePoint> lastContact_;
   std::map<base::ServerId, Applicant> applicants_;
-  std::set<base::ServerId> lost_;
+  std::set<base::ServerId> lostServers_;
 };
 
 /// @return true if a majority of the voters exceeds the number of disks that may be lost.
-bool majorityOutlivesLosses(const consensus::Membership& membership, std::uint32_t tolerableLosses);
+bool majorityExceedsLosses(const consensus::Membership& membership, std::uint32_t tolerableLosses);
 
 }  // namespace walnut::registry
--- a/src/registry/registry_calls.cpp
+++ b/src/registry/registry_calls.cpp
@@ -262,7 +262,7 @@
     return;
   }
   const bool own = status.role == Role::leader;
-  if (own && (!leadingActively() || !durableBeyondLosses())) {
+  if (own && (!leadingActively() || !toleratesLosses())) {
     return;
   }
   const std::size_t mostWaiting = own ? kMostWaitingCalls : kMostForwardedHeartbeats;
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -158,8 +158,8 @@
 // Messages
 
 void RegistryImpl::receive(protocol::ConnectionId /*from*/, const consensus::Message& message) {
-  if (keeper_) {
-    keeper_->heard(message.from, now_);
+  if (membershipPolicy_) {
+    membershipPolicy_->recordContact(message.from, now_);
   }
   raft_->receive(now_, message);
   const consensus::RaftStatus status = raft_->status();
@@ -194,7 +194,7 @@
                                std::to_string(state_.featureLevel())},
                 {"calls", std::uint64_t{1}}});
   } else if (leading_ != nullptr) {
-    keeper_->requested(message.member, status.membership, now_);
+    membershipPolicy_->addJoinRequest(message.member, status.membership, now_);
   } else if (const auto leader = peerEndpointOf(status.leader)) {
     actions_.emplace_back(control::SendToServer{status.leader, *leader, wrap(message)});
   }
@@ -282,8 +282,8 @@
 
 // Periodic tasks
 
-bool RegistryImpl::durableBeyondLosses() const {
-  return majorityOutlivesLosses(raft_->status().membership, options_.tolerableLosses);
+bool RegistryImpl::toleratesLosses() const {
+  return majorityExceedsLosses(raft_->status().membership, options_.tolerableLosses);
 }
 
 void RegistryImpl::followLeadership() {
@@ -306,7 +306,7 @@
 
 void RegistryImpl::beginLeading(const consensus::RaftStatus& status) {
   activeIndex_ = status.lastIndex;
-  keeper_.emplace(CellKeeperOptions{options_.tolerableLosses}, now_);
+  membershipPolicy_.emplace(MembershipPolicyOptions{options_.tolerableLosses}, now_);
   leading_ = std::make_unique<LeaderDuties>(options_, documents_, state_, status.term, status.self,
                                             log_, now_, orderTurns_, lastTurnAt_, &registrations_);
   pendingDocumentVersion_ = 0;
@@ -320,7 +320,7 @@
         gateway, wrap(NotLeading{serverEndpoints(), peerEndpointOf(status.leader)})});
   }
   leading_.reset();
-  keeper_.reset();
+  membershipPolicy_.reset();
   confirmer_ = {};
   callsByEntry_.clear();
   pendingWorkers_.clear();
@@ -334,7 +334,7 @@
   answerReads();
   confirmDocuments();
   if (leading_ != nullptr) {
-    keepCell();
+    updateMembership();
     raiseFeatureLevel();
     if (leadingActively()) {
       leading_->run(now_, raft_->leaseValid(now_), serverEndpoints());
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -8,12 +8,12 @@
 #include <vector>
 
 #include "registry/call_table.h"
-#include "registry/cell_keeper.h"
 #include "registry/cell_state.h"
 #include "registry/document_cache.h"
 #include "registry/document_confirmer.h"
 #include "registry/heartbeat_relay.h"
 #include "registry/leader_duties.h"
+#include "registry/membership_policy.h"
 #include "registry/order_turns.h"
 #include "registry/registration_times.h"
 #include "walnut/registry/registry.h"
@@ -121,14 +121,14 @@
   void noteApplied(const Command& command, consensus::LogIndex index);
   void noteOrdered(const StoreOrderedWorkers& ordered, consensus::LogIndex index);
   void takeSnapshotIfDue();
-  void keepCell();
+  void updateMembership();
   void raiseFeatureLevel();
   /// @return the feature level that a server has announced to this process; 0: none.
   std::uint32_t levelOf(base::ServerId server) const;
   bool isOfLowerLevel(base::ServerId server) const;
   void askToJoin();
   void runDuties();
-  bool durableBeyondLosses() const;
+  bool toleratesLosses() const;
   bool leadingActively() const { return leading_ != nullptr && activeIndex_ <= appliedIndex_; }
   std::vector<base::Endpoint> serverEndpoints() const;
   std::optional<base::Endpoint> peerEndpointOf(base::ServerId server) const;
@@ -163,7 +163,7 @@
   // State of this server's present leadership.
   std::unique_ptr<LeaderDuties> leading_;
   consensus::LogIndex activeIndex_ = 0;  ///< Index of this leader's own first entry.
-  std::optional<CellKeeper> keeper_;
+  std::optional<MembershipPolicy> membershipPolicy_;
   DocumentConfirmer confirmer_;
   std::uint64_t pendingDocumentVersion_ = 0;
   consensus::LogIndex pendingDocumentIndex_ = 0;
--- a/src/registry/registry_membership.cpp
+++ b/src/registry/registry_membership.cpp
@@ -33,9 +33,9 @@
              {{"index", status.membershipIndex}, {"members", members}});
 }
 
-void RegistryImpl::keepCell() {
+void RegistryImpl::updateMembership() {
   const consensus::RaftStatus status = raft_->status();
-  const auto next = keeper_->nextChange(status.membership, status.self, now_);
+  const auto next = membershipPolicy_->nextChange(status.membership, status.self, now_);
   if (!next) {
     return;
   }
--- a/test/registry/cell_keeper_test.cpp
+++ b/test/registry/membership_policy_test.cpp
@@ -1,6 +1,6 @@
 /// Tests of CellKeeper: which membership change is due.
 
-#include "registry/cell_keeper.h"
+#include "registry/membership_policy.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
@@ -37,50 +37,50 @@
 
 }  // namespace
 
-TEST_GROUP(CellKeeperTest) {
+TEST_GROUP(MembershipPolicyTest) {
   const base::TimePoint start = base::TimePoint(100s);
-  CellKeeper keeper{CellKeeperOptions{}, start};
+  MembershipPolicy policy{MembershipPolicyOptions{}, start};
 
-  void hear(std::initializer_list<std::uint64_t> ids, base::TimePoint now) {
+  void recordContacts(std::initializer_list<std::uint64_t> ids, base::TimePoint now) {
     for (const std::uint64_t id : ids) {
-      keeper.heard({id}, now);
+      policy.recordContact({id}, now);
     }
   }
 };
 
-TEST(CellKeeperTest, aWholeCellStaysAsItIs) {
+TEST(MembershipPolicyTest, aWholeCellStaysAsItIs) {
   const Membership cell = voters({1, 2, 3, 4, 5});
-  hear({2, 3, 4, 5}, start + 10s);
-  CHECK_FALSE(keeper.nextChange(cell, {1}, start + 10s).has_value());
+  recordContacts({2, 3, 4, 5}, start + 10s);
+  CHECK_FALSE(policy.nextChange(cell, {1}, start + 10s).has_value());
 }
 
-TEST(CellKeeperTest, anApplicantIsAdmittedAsLearnerThenPromoted) {
+TEST(MembershipPolicyTest, anApplicantIsAdmittedAsLearnerThenPromoted) {
   Membership cell = voters({1, 2, 3});
-  keeper.requested(member(4, MemberRole::voter, 4), cell, start);
-  cell = *keeper.nextChange(cell, {1}, start);
+  policy.addJoinRequest(member(4, MemberRole::voter, 4), cell, start);
+  cell = *policy.nextChange(cell, {1}, start);
   CHECK_EQUAL(4, cell.members.size());
   CHECK_EQUAL(3, voterCount(cell));
-  hear({2, 3, 4}, start + 100ms);
-  cell = *keeper.nextChange(cell, {1}, start + 100ms);
+  recordContacts({2, 3, 4}, start + 100ms);
+  cell = *policy.nextChange(cell, {1}, start + 100ms);
   CHECK_EQUAL(4, voterCount(cell));
 }
 
-TEST(CellKeeperTest, aSilentVoterStaysWhileNobodyCanReplaceIt) {
+TEST(MembershipPolicyTest, aSilentVoterStaysWhileNobodyCanReplaceIt) {
   const Membership cell = voters({1, 2, 3, 4, 5});
-  hear({2, 3, 4}, start + 60s);
-  CHECK_FALSE(keeper.nextChange(cell, {1}, start + 60s).has_value());
+  recordContacts({2, 3, 4}, start + 60s);
+  CHECK_FALSE(policy.nextChange(cell, {1}, start + 60s).has_value());
 }
 
-TEST(CellKeeperTest, twoLostDisksAreReplacedOneAfterTheOther) {
+TEST(MembershipPolicyTest, twoLostDisksAreReplacedOneAfterTheOther) {
   Membership cell = voters({1, 2, 3, 4, 5});
-  keeper.requested(member(14, MemberRole::voter, 4), cell, start);
-  keeper.requested(member(15, MemberRole::voter, 5), cell, start);
+  policy.addJoinRequest(member(14, MemberRole::voter, 4), cell, start);
+  policy.addJoinRequest(member(15, MemberRole::voter, 5), cell, start);
   std::size_t fewest = voterCount(cell);
   base::TimePoint now = start;
   for (int step = 0; step < 20; ++step) {
     now += 50ms;
-    hear({2, 3, 14, 15}, now);
-    const auto next = keeper.nextChange(cell, {1}, now);
+    recordContacts({2, 3, 14, 15}, now);
+    const auto next = policy.nextChange(cell, {1}, now);
     if (!next) {
       break;
     }
@@ -96,15 +96,15 @@
   CHECK_EQUAL(4, fewest);
 }
 
-TEST(CellKeeperTest, aRequestLapses) {
+TEST(MembershipPolicyTest, aRequestLapses) {
   const Membership cell = voters({1, 2, 3});
-  keeper.requested(member(4, MemberRole::voter, 4), cell, start);
-  CHECK_FALSE(keeper.nextChange(cell, {1}, start + 10s).has_value());
+  policy.addJoinRequest(member(4, MemberRole::voter, 4), cell, start);
+  CHECK_FALSE(policy.nextChange(cell, {1}, start + 10s).has_value());
 }
 
-TEST(CellKeeperTest, aMajorityMustBeMoreThanTheLosses) {
-  CHECK_FALSE(majorityOutlivesLosses(voters({1, 2, 3}), 2));
-  CHECK_TRUE(majorityOutlivesLosses(voters({1, 2, 3, 4}), 2));
-  CHECK_TRUE(majorityOutlivesLosses(voters({1, 2, 3}), 1));
-  CHECK_TRUE(majorityOutlivesLosses(voters({1}), 0));
+TEST(MembershipPolicyTest, aMajorityMustBeMoreThanTheLosses) {
+  CHECK_FALSE(majorityExceedsLosses(voters({1, 2, 3}), 2));
+  CHECK_TRUE(majorityExceedsLosses(voters({1, 2, 3, 4}), 2));
+  CHECK_TRUE(majorityExceedsLosses(voters({1, 2, 3}), 1));
+  CHECK_TRUE(majorityExceedsLosses(voters({1}), 0));
 }
