--- a/include/walnut/registry/messages.h
+++ b/include/walnut/registry/messages.h
@@ -111,7 +111,7 @@
 };
 
 /// A worker's heartbeat that differs from its last full one in the sequence only.
-struct WorkerHeard {
+struct WorkerContact {
   WorkerId worker;
   std::uint64_t sequence = 0;
   std::uint64_t holdingsHash = 0;  ///< Hash of its holdings: hashOf(Heartbeat).
@@ -123,15 +123,15 @@
 /// Server to leader: heartbeats that the server has acknowledged, as they change no replicated
 /// state. Lost batches are made up for by the workers' next heartbeats.
 struct HeartbeatBatch {
-  std::vector<Heartbeat> changed;  ///< Heartbeats with new information for this leader.
-  std::vector<WorkerHeard> heard;  ///< All other heartbeats.
+  std::vector<Heartbeat> changed;       ///< Heartbeats with new information for this leader.
+  std::vector<WorkerContact> contacts;  ///< All other heartbeats.
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(changed, heard);
+    archive(changed, contacts);
   }
 };
 /// Leader to server: requests full heartbeats of workers whose holdings the leader does not know.
-struct HeartbeatsWanted {
+struct HeartbeatRequest {
   std::vector<WorkerId> workers;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -417,7 +417,7 @@
     std::variant<ForwardedCall, ForwardedAnswer, JoinRequest, JoinReply, Subscribe, NotLeading,
                  ViewUpdate, DemandUpdate, DocumentPart, DocumentPartTaken, PackedView, CutReport,
                  SuspectList, ConfirmDocument, DocumentConfirmed, QuotaRequest, QuotaGrant,
-                 LateModels, HeartbeatBatch, HeartbeatsWanted, LimitReport, ShareRequest,
+                 LateModels, HeartbeatBatch, HeartbeatRequest, LimitReport, ShareRequest,
                  ShareGrant>;
 
 /// The alternative of protocol::Message that carries all messages of the registry.
--- a/src/registry/call_table.cpp
+++ b/src/registry/call_table.cpp
@@ -7,7 +7,7 @@
 std::uint64_t CallTable::add(WaitingCall call) {
   ++last_;
   deadlines_.emplace(call.deadline, last_);
-  noteUnhanded(last_, call);
+  addUnhanded(last_, call);
   calls_.emplace(last_, std::move(call));
   return last_;
 }
@@ -30,21 +30,21 @@
   calls_.erase(found);
 }
 
-std::vector<std::uint64_t> CallTable::handTo(base::ServerId leader, std::size_t most,
-                                             std::size_t mostWaiting) {
+std::vector<std::uint64_t> CallTable::handOver(base::ServerId leader, std::size_t maxCalls,
+                                               std::size_t maxWaiting) {
   if (leader != leader_) {
     leader_ = leader;
     handedHeartbeats_ = 0;
     for (const auto& [number, call] : calls_) {
-      noteUnhanded(number, call);
+      addUnhanded(number, call);
     }
   }
   std::vector<std::uint64_t> numbers;
-  while (!others_.empty() && numbers.size() < most) {
+  while (!others_.empty() && numbers.size() < maxCalls) {
     numbers.push_back(*others_.begin());
     others_.erase(others_.begin());
   }
-  while (!heartbeats_.empty() && numbers.size() < most && handedHeartbeats_ < mostWaiting) {
+  while (!heartbeats_.empty() && numbers.size() < maxCalls && handedHeartbeats_ < maxWaiting) {
     const auto newest = std::prev(heartbeats_.end());
     numbers.push_back(*newest);
     heartbeats_.erase(newest);
--- a/src/registry/call_table.h
+++ b/src/registry/call_table.h
@@ -44,11 +44,11 @@
   /// would all be answered too late.
   /// @param most largest number of calls to hand over.
   /// @param mostWaiting largest number of handed-over heartbeats without an answer; the rest wait.
-  std::vector<std::uint64_t> handTo(base::ServerId leader, std::size_t most,
-                                    std::size_t mostWaiting);
-  /// @return true if `handTo` the same leader would hand over more calls now.
-  bool hasMore(std::size_t mostWaiting) const {
-    return !others_.empty() || (!heartbeats_.empty() && handedHeartbeats_ < mostWaiting);
+  std::vector<std::uint64_t> handOver(base::ServerId leader, std::size_t maxCalls,
+                                      std::size_t maxWaiting);
+  /// @return true if `handOver` the same leader would hand over more calls now.
+  bool hasMore(std::size_t maxWaiting) const {
+    return !others_.empty() || (!heartbeats_.empty() && handedHeartbeats_ < maxWaiting);
   }
 
   /// @return calls whose deadline has passed.
@@ -61,7 +61,7 @@
   std::uint64_t last_ = 0;
   std::map<std::uint64_t, WaitingCall> calls_;
   std::set<std::pair<base::TimePoint, std::uint64_t>> deadlines_;
-  void noteUnhanded(std::uint64_t number, const WaitingCall& call) {
+  void addUnhanded(std::uint64_t number, const WaitingCall& call) {
     (call.isHeartbeat() ? heartbeats_ : others_).insert(number);
   }
 
--- a/src/registry/heartbeat_relay.cpp
+++ b/src/registry/heartbeat_relay.cpp
@@ -6,7 +6,7 @@
 namespace walnut::registry {
 
 bool HeartbeatRelay::take(const Heartbeat& heartbeat, const CellState& state) {
-  forgetEnded(state);
+  removeForgotten(state);
   const WorkerRecord* held = state.findWorker(heartbeat.worker.id);
   if (held == nullptr) {
     return false;
@@ -21,30 +21,30 @@
   if (heartbeat.sequence < worker.latest.sequence) {
     return true;  // An earlier heartbeat that arrives late has no new information.
   }
-  const bool same = worker.toldInFull && worker.hash == hash;
+  const bool same = worker.sentInFull && worker.hash == hash;
   worker.latest = heartbeat;
   worker.hash = hash;
   if (same) {
-    heard_.insert(held->id);
+    contacts_.insert(held->id);
   } else {
-    worker.toldInFull = false;
-    heard_.erase(held->id);
+    worker.sentInFull = false;
+    contacts_.erase(held->id);
     changed_.insert(held->id);
   }
   return true;
 }
 
 /// Drops the workers that were forgotten: they never return under the same id.
-void HeartbeatRelay::forgetEnded(const CellState& state) {
-  const auto touched = state.changedSince(workerChanges_);
+void HeartbeatRelay::removeForgotten(const CellState& state) {
+  const auto modified = state.changedSince(workerChanges_);
   workerChanges_ = state.workerChanges();
   const auto forget = [this](const WorkerId& id) {
     workers_.erase(id);
     changed_.erase(id);
-    heard_.erase(id);
+    contacts_.erase(id);
   };
-  if (touched) {
-    for (const WorkerId& id : *touched) {
+  if (modified) {
+    for (const WorkerId& id : *modified) {
       if (state.findWorker(id) == nullptr) {
         forget(id);
       }
@@ -61,18 +61,18 @@
 }
 
 void HeartbeatRelay::leaderChanged() {
-  heard_.clear();
+  contacts_.clear();
   changed_.clear();
   // Workers that no longer send heartbeats here are reported by another server.
   workers_.clear();
 }
 
-void HeartbeatRelay::wanted(const HeartbeatsWanted& wanted) {
-  for (const WorkerId& id : wanted.workers) {
+void HeartbeatRelay::requestFull(const HeartbeatRequest& request) {
+  for (const WorkerId& id : request.workers) {
     const auto found = workers_.find(id);
     if (found != workers_.end()) {
-      found->second.toldInFull = false;
-      heard_.erase(id);
+      found->second.sentInFull = false;
+      contacts_.erase(id);
       changed_.insert(id);
     }
   }
@@ -84,15 +84,15 @@
   }
   lastBatchAt_ = now;
   HeartbeatBatch batch;
-  while (!changed_.empty() && batch.changed.size() < kMostChanged) {
+  while (!changed_.empty() && batch.changed.size() < kMaxFullHeartbeats) {
     Worker& worker = workers_.at(*changed_.begin());
-    worker.toldInFull = true;
+    worker.sentInFull = true;
     batch.changed.push_back(worker.latest);
     changed_.erase(changed_.begin());
   }
-  for (const WorkerId& id : std::exchange(heard_, {})) {
+  for (const WorkerId& id : std::exchange(contacts_, {})) {
     const Worker& worker = workers_.at(id);
-    batch.heard.push_back({id, worker.latest.sequence, worker.hash});
+    batch.contacts.push_back({id, worker.latest.sequence, worker.hash});
   }
   return batch;
 }
@@ -101,7 +101,7 @@
   if (!changed_.empty()) {
     return lastBatchAt_ + kChangeSpacing;
   }
-  return heard_.empty() ? base::kNever : lastBatchAt_ + kBatchInterval;
+  return contacts_.empty() ? base::kNever : lastBatchAt_ + kBatchInterval;
 }
 
 }  // namespace walnut::registry
--- a/src/registry/heartbeat_relay.h
+++ b/src/registry/heartbeat_relay.h
@@ -28,7 +28,7 @@
   /// Drops all state, as a new leader knows nothing of what was sent to the previous one.
   void leaderChanged();
   /// Schedules full heartbeats of workers whose holdings the leader does not know.
-  void wanted(const HeartbeatsWanted& wanted);
+  void requestFull(const HeartbeatRequest& request);
 
   /// @return the batch to send to the leader now, if one is due.
   std::optional<HeartbeatBatch> takeBatch(base::TimePoint now);
@@ -43,20 +43,20 @@
   static constexpr base::Duration kBatchInterval = std::chrono::milliseconds(100);
   /// @}
   /// Most full heartbeats in one batch: some ms of the leader's time.
-  static constexpr std::size_t kMostChanged = 64;
+  static constexpr std::size_t kMaxFullHeartbeats = 64;
 
  private:
   struct Worker {
     Heartbeat latest;
     std::uint64_t hash = 0;
-    bool toldInFull = false;
+    bool sentInFull = false;
   };
 
-  void forgetEnded(const CellState& state);
+  void removeForgotten(const CellState& state);
 
   std::map<WorkerId, Worker> workers_;
-  std::set<WorkerId> changed_;  ///< Workers to be reported in full.
-  std::set<WorkerId> heard_;    ///< Workers to be reported as contact; none is in `changed_`.
+  std::set<WorkerId> changed_;   ///< Workers to be reported in full.
+  std::set<WorkerId> contacts_;  ///< Workers to be reported as contact; none is in `changed_`.
   base::TimePoint lastBatchAt_;
   std::uint64_t workerChanges_ = 0;  ///< Count of CellState's worker changes, as last processed.
 };
--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -88,24 +88,24 @@
   return !(next == *held);
 }
 
-HeartbeatsWanted LeaderDuties::heartbeats(const HeartbeatBatch& batch, base::TimePoint now) {
-  HeartbeatsWanted wanted;
+HeartbeatRequest LeaderDuties::heartbeats(const HeartbeatBatch& batch, base::TimePoint now) {
+  HeartbeatRequest request;
   for (const Heartbeat& changed : batch.changed) {
     (void)heartbeat(changed, now);
   }
-  for (const WorkerHeard& worker : batch.heard) {
+  for (const WorkerContact& worker : batch.contacts) {
     const auto found = workers_.find(worker.worker);
     if (found == workers_.end() || state_.findWorker(worker.worker) == nullptr) {
       continue;  // Forgotten: the server that took the heartbeat learns it with the next one.
     }
     WorkerStatus& status = found->second;
     const bool wasSilent = status.silent;
-    if (!status.takeHeard(worker, now)) {
-      wanted.workers.push_back(worker.worker);
+    if (!status.takeContact(worker, now)) {
+      request.workers.push_back(worker.worker);
     }
     noteHeard(worker.worker, status, wasSilent, now);
   }
-  return wanted;
+  return request;
 }
 
 void LeaderDuties::noteHeard(const WorkerId& id, WorkerStatus& status, bool wasSilent,
@@ -197,14 +197,14 @@
 }
 
 void LeaderDuties::takeWorkerChanges(base::TimePoint now) {
-  const auto touched = state_.changedSince(workerChanges_);
-  if (!touched) {
+  const auto modified = state_.changedSince(workerChanges_);
+  if (!modified) {
     takeEveryWorker(now);
     return;
   }
   workerChanges_ = state_.workerChanges();
   std::set<WorkerId> gone;
-  for (const WorkerId& id : *touched) {
+  for (const WorkerId& id : *modified) {
     if (state_.findWorker(id) == nullptr) {
       gone.insert(id);
     } else {
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -50,7 +50,7 @@
   bool heartbeat(const Heartbeat& heartbeat, base::TimePoint now);
   /// Takes heartbeats that another server has acknowledged.
   /// @return the workers whose heartbeats this leader needs in full.
-  HeartbeatsWanted heartbeats(const HeartbeatBatch& batch, base::TimePoint now);
+  HeartbeatRequest heartbeats(const HeartbeatBatch& batch, base::TimePoint now);
   /// @param zone zone of the gateway.
   /// @param featureLevel feature level that the gateway supports.
   void subscribe(protocol::ConnectionId gateway, const Subscribe& request,
--- a/src/registry/registry_calls.cpp
+++ b/src/registry/registry_calls.cpp
@@ -19,29 +19,29 @@
 namespace {
 
 /// Most calls that one event loop iteration decides or forwards: some ms of a small core.
-constexpr std::size_t kMostCallsInTurn = 64;
+constexpr std::size_t kMaxCallsPerIteration = 64;
 /// Most heartbeats that a server has forwarded to the leader and that are not answered yet. It
 /// bounds the leader's queue in proportion to the number of servers, however many workers register
 /// at once.
-constexpr std::size_t kMostForwardedHeartbeats = 32;
+constexpr std::size_t kMaxForwardedHeartbeats = 32;
 /// Most calls that wait at one server: more than can be answered before their callers time out.
-constexpr std::size_t kMostWaitingCalls = 4096;
+constexpr std::size_t kMaxWaitingCalls = 4096;
 
 }  // namespace
 
 /// Returns true if the leader made contact within the check-quorum timeout. That is as long as its
 /// lease, and a leader sends several Raft heartbeats within it.
-bool RegistryImpl::hearsLeader() const {
+bool RegistryImpl::hasLeaderContact() const {
   const consensus::RaftStatus status = raft_->status();
   return status.role != Role::leader && status.leader != base::ServerId{} &&
-         now_ < leaderHeardAt_ + options_.raft.checkQuorumTimeout;
+         now_ < lastLeaderContact_ + options_.raft.checkQuorumTimeout;
 }
 
 /// Acknowledges a heartbeat that changes no replicated state.
 /// @return false if the leader has to decide on the heartbeat.
 bool RegistryImpl::relay(std::uint64_t call, const ReportAlive& body) {
   const bool relays =
-      hearsLeader() && levelOf(raft_->status().leader) >= feature::kHeartbeatBatches;
+      hasLeaderContact() && levelOf(raft_->status().leader) >= feature::kHeartbeatBatches;
   if (!relays || !relay_.take(body.heartbeat, state_)) {
     return false;
   }
@@ -52,10 +52,10 @@
   return true;
 }
 
-void RegistryImpl::tellHeartbeats() {
+void RegistryImpl::sendHeartbeats() {
   const base::ServerId leader = raft_->status().leader;
   const auto endpoint = peerEndpointOf(leader);
-  if (!hearsLeader() || !endpoint) {
+  if (!hasLeaderContact() || !endpoint) {
     return;
   }
   if (auto batch = relay_.takeBatch(now_)) {
@@ -76,9 +76,9 @@
 
 /// Chooses the server to which a worker should send further heartbeats: one of its own zone if
 /// there is any, by rendezvous hashing of the worker's id.
-base::Endpoint RegistryImpl::homeOf(const WorkerRecord& worker) const {
+base::Endpoint RegistryImpl::preferredServerFor(const WorkerRecord& worker) const {
   const consensus::Membership membership = raft_->status().membership;
-  base::Endpoint home = options_.self.resourceEndpoint;
+  base::Endpoint preferred = options_.self.resourceEndpoint;
   std::pair<bool, std::uint64_t> best;
   for (const consensus::Member& member : membership.members) {
     const std::string text = worker.id.value + "@" + std::to_string(member.id.value);
@@ -86,10 +86,10 @@
                                               XXH3_64bits(text.data(), text.size()));
     if (rank > best) {
       best = rank;
-      home = member.resourceEndpoint;
+      preferred = member.resourceEndpoint;
     }
   }
-  return home;
+  return preferred;
 }
 
 void RegistryImpl::decide(std::uint64_t call, const ReplaceDocument& body) {
@@ -230,7 +230,7 @@
   ControlAnswer done;
   done.status = ControlStatus::done;
   done.leader = state_.featureLevel() >= feature::kHeartbeatBatches
-                    ? homeOf(worker)
+                    ? preferredServerFor(worker)
                     : options_.self.resourceEndpoint;
   answer(call, std::move(done));
 }
@@ -248,7 +248,7 @@
 void RegistryImpl::take(WaitingCall call) {
   const bool heartbeat = std::holds_alternative<ReportAlive>(call.call);
   const std::uint64_t number = calls_.add(std::move(call));
-  if (heartbeat && calls_.size() > kMostWaitingCalls) {
+  if (heartbeat && calls_.size() > kMaxWaitingCalls) {
     answerUnavailable(number, "too many calls wait");
   }
 }
@@ -257,16 +257,17 @@
 /// consensus, however many arrive.
 void RegistryImpl::handOverCalls() {
   const consensus::RaftStatus status = raft_->status();
-  callsLeft_ = false;
+  callsRemaining_ = false;
   if (status.leader == base::ServerId{}) {
     return;
   }
   const bool own = status.role == Role::leader;
-  if (own && (!leadingActively() || !toleratesLosses())) {
+  if (own && (!isActiveLeader() || !toleratesLosses())) {
     return;
   }
-  const std::size_t mostWaiting = own ? kMostWaitingCalls : kMostForwardedHeartbeats;
-  for (const std::uint64_t number : calls_.handTo(status.leader, kMostCallsInTurn, mostWaiting)) {
+  const std::size_t maxWaiting = own ? kMaxWaitingCalls : kMaxForwardedHeartbeats;
+  for (const std::uint64_t number :
+       calls_.handOver(status.leader, kMaxCallsPerIteration, maxWaiting)) {
     WaitingCall& call = *calls_.find(number);
     if (!own && call.origin.connection) {
       continue;  // Forwarded to this server, which no longer leads: its sender learns that too.
@@ -282,7 +283,7 @@
           status.leader, *leader, RegistryMessage{MessageBody(ForwardedCall{number, call.call})}});
     }
   }
-  callsLeft_ = calls_.hasMore(mostWaiting);
+  callsRemaining_ = calls_.hasMore(maxWaiting);
 }
 
 void RegistryImpl::expireCalls() {
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -50,7 +50,7 @@
       orderTurns_(now),
       recoveredIndex_(raft_->status().lastIndex),
       startedAt_(now),
-      leaderHeardAt_(now) {}
+      lastLeaderContact_(now) {}
 
 void RegistryImpl::step(base::TimePoint now, const RegistryInput& input) {
   now_ = std::max(now_, now);
@@ -84,13 +84,13 @@
     return {{}, {}, unreadable_};
   }
   followLeadership();
-  runDuties();
+  runTasks();
   outputs.actions = std::exchange(actions_, {});
   return outputs;
 }
 
 base::TimePoint RegistryImpl::nextWakeup() const {
-  if (callsLeft_) {
+  if (callsRemaining_) {
     return now_;
   }
   base::TimePoint next = std::min(raft_->nextWakeup(), calls_.nextDeadline());
@@ -98,7 +98,7 @@
     next = std::min({next, leading_->nextWakeup(), confirmer_.nextRound()});
   } else {
     next = std::min(next, relay_.nextBatch());
-    next = std::min(next, std::max(nextJoinAt_, leaderHeardAt_ + options_.joinAfterSilence));
+    next = std::min(next, std::max(nextJoinAt_, lastLeaderContact_ + options_.joinAfterSilence));
   }
   return next;
 }
@@ -164,7 +164,7 @@
   raft_->receive(now_, message);
   const consensus::RaftStatus status = raft_->status();
   if (status.leader == message.from && status.leader != base::ServerId{}) {
-    leaderHeardAt_ = now_;
+    lastLeaderContact_ = now_;
   }
 }
 
@@ -214,7 +214,7 @@
 /// Only the leader serves gateways: the state that another server has applied may be older than
 /// what was acknowledged, and it is older after a restart.
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const Subscribe& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     const auto found = gatewayPeers_.find(from);
     const Peer gateway = found == gatewayPeers_.end() ? Peer{} : found->second;
     leading_->subscribe(from, message, gateway.zone, gateway.featureLevel);
@@ -225,57 +225,57 @@
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const DocumentPartTaken& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->documentPartTaken(from, message);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const ConfirmDocument& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     confirmer_.asked(from, message);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const QuotaRequest& message) {
-  if (leadingActively() && raft_->leaseValid(now_)) {
+  if (isActiveLeader() && raft_->leaseValid(now_)) {
     leading_->quotaAsked(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const LimitReport& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->limitsReported(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const ShareRequest& message) {
-  if (leadingActively() && raft_->leaseValid(now_)) {
+  if (isActiveLeader() && raft_->leaseValid(now_)) {
     leading_->sharesAsked(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const HeartbeatBatch& message) {
-  if (!leadingActively()) {
+  if (!isActiveLeader()) {
     return;
   }
-  HeartbeatsWanted wanted = leading_->heartbeats(message, now_);
-  if (!wanted.workers.empty()) {
-    actions_.emplace_back(control::SendToConnection{from, wrap(std::move(wanted))});
+  HeartbeatRequest request = leading_->heartbeats(message, now_);
+  if (!request.workers.empty()) {
+    actions_.emplace_back(control::SendToConnection{from, wrap(std::move(request))});
   }
 }
 
-void RegistryImpl::receiveBody(protocol::ConnectionId /*from*/, const HeartbeatsWanted& message) {
-  relay_.wanted(message);
+void RegistryImpl::receiveBody(protocol::ConnectionId /*from*/, const HeartbeatRequest& message) {
+  relay_.requestFull(message);
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const DemandUpdate& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->demand(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId /*from*/, const CutReport& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->cutsReported(message, now_);
   }
 }
@@ -325,10 +325,10 @@
   callsByEntry_.clear();
   pendingWorkers_.clear();
   reads_.clear();
-  leaderHeardAt_ = now_;
+  lastLeaderContact_ = now_;
 }
 
-void RegistryImpl::runDuties() {
+void RegistryImpl::runTasks() {
   expireCalls();
   handOverCalls();
   answerReads();
@@ -336,7 +336,7 @@
   if (leading_ != nullptr) {
     updateMembership();
     raiseFeatureLevel();
-    if (leadingActively()) {
+    if (isActiveLeader()) {
       leading_->run(now_, raft_->leaseValid(now_), serverEndpoints());
       for (const Command& command : leading_->takeCommands()) {
         (void)raft_->propose(now_, encodeCommand(command));
@@ -346,8 +346,8 @@
       }
     }
   } else {
-    askToJoin();
-    tellHeartbeats();
+    requestJoin();
+    sendHeartbeats();
   }
   takeSnapshotIfDue();
 }
@@ -355,7 +355,7 @@
 /// Gateways trust the answer for some time by their own clocks. It is therefore sent only once a
 /// majority has confirmed, after the query arrived, that no other server leads.
 void RegistryImpl::confirmDocuments() {
-  if (!leadingActively()) {
+  if (!isActiveLeader()) {
     return;
   }
   if (confirmer_.confirming()) {
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -71,7 +71,7 @@
   void receiveBody(protocol::ConnectionId from, const LimitReport& message);
   void receiveBody(protocol::ConnectionId from, const ShareRequest& message);
   void receiveBody(protocol::ConnectionId from, const HeartbeatBatch& message);
-  void receiveBody(protocol::ConnectionId from, const HeartbeatsWanted& message);
+  void receiveBody(protocol::ConnectionId from, const HeartbeatRequest& message);
   void receiveBody(protocol::ConnectionId, const DocumentConfirmed&) {}
   void receiveBody(protocol::ConnectionId, const QuotaGrant&) {}
   void receiveBody(protocol::ConnectionId, const ShareGrant&) {}
@@ -83,10 +83,10 @@
   void receiveBody(protocol::ConnectionId, const SuspectList&) {}
 
   bool relay(std::uint64_t call, const ReportAlive& body);
-  void tellHeartbeats();
-  bool hearsLeader() const;
+  void sendHeartbeats();
+  bool hasLeaderContact() const;
   base::ZoneId zoneOf(const consensus::Member& member) const;
-  base::Endpoint homeOf(const WorkerRecord& worker) const;
+  base::Endpoint preferredServerFor(const WorkerRecord& worker) const;
   /// Accepts a call, unless it is a heartbeat and too many calls are waiting.
   void take(WaitingCall call);
 
@@ -126,10 +126,10 @@
   /// @return the feature level that a server has announced to this process; 0: none.
   std::uint32_t levelOf(base::ServerId server) const;
   bool isOfLowerLevel(base::ServerId server) const;
-  void askToJoin();
-  void runDuties();
+  void requestJoin();
+  void runTasks();
   bool toleratesLosses() const;
-  bool leadingActively() const { return leading_ != nullptr && activeIndex_ <= appliedIndex_; }
+  bool isActiveLeader() const { return leading_ != nullptr && activeIndex_ <= appliedIndex_; }
   std::vector<base::Endpoint> serverEndpoints() const;
   std::optional<base::Endpoint> peerEndpointOf(base::ServerId server) const;
   void noteMembership();
@@ -147,8 +147,8 @@
   std::vector<RegistryAction> actions_;
 
   CallTable calls_;
-  HeartbeatRelay relay_;    ///< Used while another server leads.
-  bool callsLeft_ = false;  ///< Some calls wait for the next event loop iteration.
+  HeartbeatRelay relay_;         ///< Used while another server leads.
+  bool callsRemaining_ = false;  ///< Some calls wait for the next event loop iteration.
   std::map<consensus::LogIndex, std::vector<std::uint64_t>> callsByEntry_;  ///< Leader only.
   std::vector<PendingRead> reads_;                                          ///< Leader only.
 
@@ -186,7 +186,7 @@
   RegistrationTimes registrations_;
   const consensus::LogIndex recoveredIndex_;  ///< Last entry of the recovered log.
   const base::TimePoint startedAt_;
-  base::TimePoint leaderHeardAt_;
+  base::TimePoint lastLeaderContact_;
   base::TimePoint nextJoinAt_;
   std::vector<base::Endpoint> learnedEndpoints_;  ///< Learned from answers to join requests.
 };
--- a/src/registry/registry_membership.cpp
+++ b/src/registry/registry_membership.cpp
@@ -63,7 +63,7 @@
 /// Raises the cell's feature level to the lowest one that its servers have announced.
 void RegistryImpl::raiseFeatureLevel() {
   const std::uint32_t held = std::max(state_.featureLevel(), proposedLevel_);
-  if (held >= kCellFeatureLevel || !leadingActively()) {
+  if (held >= kCellFeatureLevel || !isActiveLeader()) {
     return;
   }
   std::uint32_t level = kCellFeatureLevel;
@@ -77,8 +77,8 @@
 
 /// A server without contact to a leader asks all known servers for admission. For a server that
 /// already is a member this has no effect.
-void RegistryImpl::askToJoin() {
-  if (now_ < leaderHeardAt_ + options_.joinAfterSilence || now_ < nextJoinAt_) {
+void RegistryImpl::requestJoin() {
+  if (now_ < lastLeaderContact_ + options_.joinAfterSilence || now_ < nextJoinAt_) {
     return;
   }
   nextJoinAt_ = now_ + options_.joinInterval;
--- a/src/registry/worker_status.cpp
+++ b/src/registry/worker_status.cpp
@@ -43,7 +43,7 @@
   return true;
 }
 
-bool WorkerStatus::takeHeard(const WorkerHeard& worker, base::TimePoint now) {
+bool WorkerStatus::takeContact(const WorkerContact& worker, base::TimePoint now) {
   if (worker.sequence >= lastSequence) {
     lastSequence = worker.sequence;
     lastHeard = now;
--- a/src/registry/worker_status.h
+++ b/src/registry/worker_status.h
@@ -72,7 +72,7 @@
   bool takeHeartbeat(const Heartbeat& heartbeat, base::TimePoint now);
   /// Records a heartbeat with unchanged holdings.
   /// @return false if these holdings are not known here.
-  bool takeHeard(const WorkerHeard& worker, base::TimePoint now);
+  bool takeContact(const WorkerContact& worker, base::TimePoint now);
   void takeReport(const WorkerReport& report, base::TimePoint now);
 
   /// @return true if the adapter was ordered recently.
--- a/test/registry/heartbeat_relay_test.cpp
+++ b/test/registry/heartbeat_relay_test.cpp
@@ -42,12 +42,12 @@
   CHECK_TRUE(relay.take(beat("w", 1), state));
   CHECK_EQUAL(1, batch().changed.size());
   CHECK_TRUE(relay.take(beat("w", 2), state));
-  CHECK_TRUE(batch().heard.empty());
+  CHECK_TRUE(batch().contacts.empty());
   now += HeartbeatRelay::kBatchInterval;
   const HeartbeatBatch again = batch();
   CHECK_TRUE(again.changed.empty());
-  CHECK_EQUAL(1, again.heard.size());
-  CHECK_EQUAL(2, again.heard.front().sequence);
+  CHECK_EQUAL(1, again.contacts.size());
+  CHECK_EQUAL(2, again.contacts.front().sequence);
 }
 
 TEST(HeartbeatRelayTest, anotherModelIsToldSoon) {
@@ -78,7 +78,7 @@
 TEST(HeartbeatRelayTest, whatTheLeaderWantsIsToldInFull) {
   relay.take(beat("w", 1), state);
   (void)batch();
-  relay.wanted({{{"w"}, {"gone"}}});
+  relay.requestFull({{{"w"}, {"gone"}}});
   now += HeartbeatRelay::kChangeSpacing;
   CHECK_EQUAL(1, batch().changed.size());
 }
@@ -103,7 +103,7 @@
   std::size_t told = 0;
   for (int count = 0; count < 3; ++count) {
     const std::size_t changed = batch().changed.size();
-    CHECK_TRUE(changed <= HeartbeatRelay::kMostChanged);
+    CHECK_TRUE(changed <= HeartbeatRelay::kMaxFullHeartbeats);
     told += changed;
     now += HeartbeatRelay::kChangeSpacing;
   }
