--- a/src/registry/cell_state.cpp
+++ b/src/registry/cell_state.cpp
@@ -10,9 +10,9 @@
 
 /// Least number of forgotten workers that are remembered. A heartbeat may be seconds late; within
 /// that time fewer workers end than this number, or than there are workers.
-constexpr std::size_t kLeastForgotten = 1024;
+constexpr std::size_t kMinForgotten = 1024;
 /// Bound of `changes_`, which a leader reads after each batch of entries.
-constexpr std::size_t kMostChanges = 8192;
+constexpr std::size_t kMaxChanges = 8192;
 
 template <class... Handlers>
 struct Overloaded : Handlers... {
@@ -75,9 +75,9 @@
   }
   std::set<WorkerId> replaced = workersAt(worker.endpoint);
   base::ServerId lastOrderedBy;
-  const auto lives = idsByName_.find(worker.calledName());
-  if (lives != idsByName_.end()) {
-    for (const WorkerId& id : lives->second) {
+  const auto incarnations = idsByName_.find(worker.calledName());
+  if (incarnations != idsByName_.end()) {
+    for (const WorkerId& id : incarnations->second) {
       const WorkerRecord& other = workers_.at(id);
       if (other.succeeds(worker)) {
         return;
@@ -140,7 +140,7 @@
     return;
   }
   forgotten_.push_back(id);
-  while (forgotten_.size() > mostForgotten()) {
+  while (forgotten_.size() > maxForgotten()) {
     forgottenIds_.erase(forgotten_.front());
     forgotten_.pop_front();
   }
@@ -148,8 +148,8 @@
 
 /// At feature level 0 the cell may have servers of early builds, which always remember the least
 /// number only; all servers must do the same.
-std::size_t CellState::mostForgotten() const {
-  return featureLevel_ == 0 ? kLeastForgotten : std::max(kLeastForgotten, workers_.size());
+std::size_t CellState::maxForgotten() const {
+  return featureLevel_ == 0 ? kMinForgotten : std::max(kMinForgotten, workers_.size());
 }
 
 void CellState::addToIndex(const WorkerRecord& worker) {
@@ -178,7 +178,7 @@
 
 void CellState::noteChange(const WorkerId& id) {
   changes_.push_back(id);
-  if (changes_.size() > kMostChanges) {
+  if (changes_.size() > kMaxChanges) {
     changes_.pop_front();
     ++firstChange_;
   }
@@ -203,7 +203,7 @@
   return found == workers_.end() ? nullptr : &found->second;
 }
 
-const WorkerRecord* CellState::findLife(const std::string& name) const {
+const WorkerRecord* CellState::findIncarnation(const std::string& name) const {
   const auto found = idsByName_.find(name);
   return found == idsByName_.end() ? nullptr : findWorker(*found->second.begin());
 }
--- a/src/registry/cell_state.h
+++ b/src/registry/cell_state.h
@@ -156,7 +156,7 @@
   const Workers& workers() const { return workers_; }
   const WorkerRecord* findWorker(const WorkerId& id) const;
   /// @return the present incarnation of the worker of that name, or nullptr.
-  const WorkerRecord* findLife(const std::string& name) const;
+  const WorkerRecord* findIncarnation(const std::string& name) const;
   /// @return true if the worker was registered and has been forgotten since.
   bool wasForgotten(const WorkerId& id) const;
   /// @return the workers at that endpoint.
@@ -217,7 +217,7 @@
   void removeFromIndex(const WorkerRecord& worker);
   void buildIndex();
   void noteChange(const WorkerId& id);
-  std::size_t mostForgotten() const;
+  std::size_t maxForgotten() const;
 
   std::uint64_t documentVersion_ = 0;
   std::string documentText_;
--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -14,12 +14,12 @@
 /// Least time between two log entries with the holdings of one worker.
 constexpr base::Duration kHoldingsInterval = std::chrono::milliseconds(500);
 /// Least share of its final value that a decaying rate has reached; below it the rate is unknown.
-constexpr double kLeastKnown = 0.1;
+constexpr double kMinKnown = 0.1;
 /// @name Most workers per time slice: a new leader has to process all workers of a large fleet
 /// @{
-constexpr std::size_t kMostHoldingsStored = 256;
-constexpr std::size_t kMostHoldingsCompared = 1024;
-constexpr std::size_t kMostViewsRefreshed = 512;
+constexpr std::size_t kMaxHoldingsStored = 256;
+constexpr std::size_t kMaxHoldingsCompared = 1024;
+constexpr std::size_t kMaxViewsRefreshed = 512;
 /// @}
 constexpr base::Duration kCheckInterval = std::chrono::milliseconds(50);
 /// Least age of the collected loads of a large fleet, whose gateways are sent loads 4 times/s.
@@ -30,7 +30,7 @@
 LeaderDuties::LeaderDuties(const RegistryOptions& options, DocumentCache& documents,
                            const CellState& state, consensus::Term term, base::ServerId self,
                            runtime::EventLog& log, base::TimePoint now, const OrderTurns& turns,
-                           std::optional<base::TimePoint> lastTurnAt,
+                           std::optional<base::TimePoint> lastTakeoverAt,
                            const RegistrationTimes* registrations)
     : options_(options),
       documents_(documents),
@@ -41,16 +41,16 @@
       since_(now),
       turns_(turns),
       registrations_(registrations),
-      turnAllowedAt_(turnAllowedAt(lastTurnAt)),
+      takeoverAllowedAt_(takeoverAllowedAt(lastTakeoverAt)),
       poolStart_{std::to_string(self.value)},
       quotas_(options.quota),
       crashes_(state, log),
       publisher_(options.viewInterval),
       lastCheck_(now),
-      hearingSince_(now) {
+      receivingSince_(now) {
   refreshDocument(now);
-  takeEveryWorker(now);
-  takeColdWorkers();
+  refreshAllWorkers(now);
+  markColdWorkers();
 }
 
 WorkerStatus& LeaderDuties::statusOf(const WorkerId& id, base::TimePoint now) {
@@ -59,15 +59,15 @@
     if (const std::vector<HeldModel>* held = state_.findHoldings(id)) {
       found->second.begin(*held);
     }
-    checkSilenceAt(id, found->second, now + heartbeatTime(options_.overdueHeartbeats));
+    scheduleSilenceCheck(id, found->second, now + heartbeatTime(options_.overdueHeartbeats));
   }
   return found->second;
 }
 
 bool LeaderDuties::heartbeat(const Heartbeat& heartbeat, base::TimePoint now) {
   const WorkerId& id = heartbeat.worker.id;
-  if (state_.wasForgotten(id) || namesUnknownService(heartbeat) || isOfFormerLife(heartbeat, now) ||
-      contestsALiveWorker(heartbeat, now)) {
+  if (state_.wasForgotten(id) || namesUnknownService(heartbeat) || isOutdated(heartbeat, now) ||
+      contestsLiveWorker(heartbeat, now)) {
     return false;
   }
   WorkerStatus& status = statusOf(id, now);
@@ -76,7 +76,7 @@
     return false;
   }
   noteChanged(id);
-  noteHeard(id, status, wasSilent, now);
+  recordContact(id, status, wasSilent, now);
   logEndedOrder(id, status, now);
   planSoon_ = true;
   const WorkerRecord* held = state_.findWorker(id);
@@ -103,18 +103,18 @@
     if (!status.takeContact(worker, now)) {
       request.workers.push_back(worker.worker);
     }
-    noteHeard(worker.worker, status, wasSilent, now);
+    recordContact(worker.worker, status, wasSilent, now);
   }
   return request;
 }
 
-void LeaderDuties::noteHeard(const WorkerId& id, WorkerStatus& status, bool wasSilent,
-                             base::TimePoint now) {
+void LeaderDuties::recordContact(const WorkerId& id, WorkerStatus& status, bool wasSilent,
+                                 base::TimePoint now) {
   crashes_.heard(id);
   if (wasSilent && !status.silent) {
     noteChanged(id);
     planSoon_ = true;
-    checkSilenceAt(id, status, now + heartbeatTime(options_.overdueHeartbeats));
+    scheduleSilenceCheck(id, status, now + heartbeatTime(options_.overdueHeartbeats));
     log_.write(LogEvent::workerHeard, {{"worker", id.value}});
   }
 }
@@ -140,7 +140,7 @@
                           base::TimePoint now) {
   demand_.update(gateway, update, now);
   for (const ModelDemand& demand : update.demands) {
-    if (mayBeServed(demand)) {
+    if (canBeServed(demand)) {
       publisher_.asked(gateway, {demand.service, demand.model, demand.adapter}, demand.waiting > 0,
                        now);
     }
@@ -157,7 +157,7 @@
 
 /// Callers may request any name. Interest is recorded only for models that are loaded or may be
 /// loaded, so that invented names take no memory here.
-bool LeaderDuties::mayBeServed(const ModelDemand& demand) const {
+bool LeaderDuties::canBeServed(const ModelDemand& demand) const {
   const std::string held = demand.adapter.empty()
                                ? demand.model
                                : WorkerIndex::adapterName(demand.model, demand.adapter);
@@ -173,8 +173,8 @@
   return model != nullptr && model->hasAdapter(demand.adapter);
 }
 
-void LeaderDuties::quotaAsked(protocol::ConnectionId gateway, const QuotaRequest& request,
-                              base::TimePoint now) {
+void LeaderDuties::quotaRequested(protocol::ConnectionId gateway, const QuotaRequest& request,
+                                  base::TimePoint now) {
   actions_.emplace_back(control::SendToConnection{
       gateway, RegistryMessage{MessageBody(quotas_.grant(gateway, request, now))}});
   logQuotaChanges();
@@ -183,9 +183,9 @@
 void LeaderDuties::stateChanged(base::TimePoint now) {
   refreshDocument(now);
   if (state_.zoneChanges() == zoneChanges_) {
-    takeWorkerChanges(now);
+    applyWorkerChanges(now);
   } else {
-    takeEveryWorker(now);
+    refreshAllWorkers(now);
   }
   crashes_.stateChanged();
   planSoon_ = true;
@@ -193,13 +193,13 @@
 
 void LeaderDuties::noteChanged(const WorkerId& id) {
   changed_.insert(id);
-  unstored_.insert(id);
+  unsavedHoldings_.insert(id);
 }
 
-void LeaderDuties::takeWorkerChanges(base::TimePoint now) {
+void LeaderDuties::applyWorkerChanges(base::TimePoint now) {
   const auto modified = state_.changedSince(workerChanges_);
   if (!modified) {
-    takeEveryWorker(now);
+    refreshAllWorkers(now);
     return;
   }
   workerChanges_ = state_.workerChanges();
@@ -210,15 +210,15 @@
     } else {
       WorkerStatus& status = statusOf(id, now);
       if (!std::exchange(status.registered, true)) {
-        beginCold(*state_.findWorker(id), status, now);
+        markCold(*state_.findWorker(id), status, now);
       }
       noteChanged(id);
     }
   }
-  forgetWorkers(gone, now);
+  removeWorkers(gone, now);
 }
 
-void LeaderDuties::takeEveryWorker(base::TimePoint now) {
+void LeaderDuties::refreshAllWorkers(base::TimePoint now) {
   workerChanges_ = state_.workerChanges();
   zoneChanges_ = state_.zoneChanges();
   for (const auto& [id, record] : state_.workers()) {
@@ -236,10 +236,10 @@
       gone.insert(id);
     }
   }
-  forgetWorkers(gone, now);
+  removeWorkers(gone, now);
 }
 
-void LeaderDuties::forgetWorkers(const std::set<WorkerId>& gone, base::TimePoint now) {
+void LeaderDuties::removeWorkers(const std::set<WorkerId>& gone, base::TimePoint now) {
   if (gone.empty()) {
     return;
   }
@@ -290,8 +290,8 @@
                        const std::vector<base::Endpoint>& servers) {
   if (now >= nextCheck_) {
     nextCheck_ = now + kCheckInterval;
-    noteHeldUp(now);
-    noteSilence(now);
+    detectSuspension(now);
+    checkOverdueWorkers(now);
     detectOutliers(now);
     reviewCrashes(now);
     storeHoldings(now);
@@ -301,17 +301,17 @@
     planSoon_ = false;
   }
   const bool planDue = (planSoon_ && now >= lastPlanAt_ + planSpacing()) || now >= nextPlan_;
-  if (leaseValid && planDue && workersKnown_) {
+  if (leaseValid && planDue && workersProcessed_) {
     planSoon_ = false;
     lastPlanAt_ = now;
     nextPlan_ = now + options_.planInterval;
-    claimOrders(now);
-    dropUnrecorded(now);
+    claimOrderLease(now);
+    cancelUnrecorded(now);
     if (ordersAllowed(now)) {
       refreshReports(now);
       plan(now);
       askOverdueWorkers(now);
-      claimWorkers(now);
+      recordAllWorkers(now);
     }
   }
   if (leaseValid) {
@@ -327,13 +327,14 @@
 void LeaderDuties::storeHoldings(base::TimePoint now) {
   std::size_t stored = 0;
   std::size_t compared = 0;
-  for (auto next = unstored_.begin(); next != unstored_.end() && stored < kMostHoldingsStored &&
-                                      compared < kMostHoldingsCompared;) {
+  for (auto next = unsavedHoldings_.begin(); next != unsavedHoldings_.end() &&
+                                             stored < kMaxHoldingsStored &&
+                                             compared < kMaxHoldingsCompared;) {
     const WorkerId id = *next;
     const auto found = workers_.find(id);
     if (found == workers_.end() || !found->second.holdingsKnown ||
         state_.findWorker(id) == nullptr) {
-      next = unstored_.erase(next);
+      next = unsavedHoldings_.erase(next);
       continue;
     }
     WorkerStatus& status = found->second;
@@ -341,7 +342,7 @@
       ++next;
       continue;
     }
-    next = unstored_.erase(next);
+    next = unsavedHoldings_.erase(next);
     ++compared;
     std::vector<HeldModel> models = status.serving(now);
     const std::vector<HeldModel>* held = state_.findHoldings(id);
@@ -409,7 +410,7 @@
     noteChanged(changesAt_.begin()->second);
     changesAt_.erase(changesAt_.begin());
   }
-  for (std::size_t count = 0; !changed_.empty() && count < kMostViewsRefreshed; ++count) {
+  for (std::size_t count = 0; !changed_.empty() && count < kMaxViewsRefreshed; ++count) {
     const WorkerId id = *changed_.begin();
     changed_.erase(changed_.begin());
     if (const WorkerRecord* record = state_.findWorker(id)) {
@@ -419,17 +420,17 @@
       view.limit = limits_.limitOf(id);
       view.record.leaving = outOfService(*record);
       if (std::exchange(status.outOfService, view.record.leaving) && !view.record.leaving) {
-        beginCold(*record, status, now);
+        markCold(*record, status, now);
       }
       if (view.record.leaving || view.silent || view.failing) {
         index_.remove(id);
       } else {
         index_.set(id, record->service, view.models);
       }
-      publisher_.setWorker(view, isPlain(record->service), mostGatewaysFor(*record, status, now));
+      publisher_.setWorker(view, isPlain(record->service), maxGatewaysFor(*record, status, now));
     }
   }
-  workersKnown_ = workersKnown_ || changed_.empty();
+  workersProcessed_ = workersProcessed_ || changed_.empty();
 }
 
 /// Gateways see a worker of an evacuated zone as leaving, so that none sends it new requests.
@@ -437,7 +438,7 @@
   return record.leaving || state_.evacuated(record.zone);
 }
 
-void LeaderDuties::beginCold(const WorkerRecord& record, WorkerStatus& status, base::TimePoint at) {
+void LeaderDuties::markCold(const WorkerRecord& record, WorkerStatus& status, base::TimePoint at) {
   const catalog::Service* service =
       document_ == nullptr ? nullptr : document_->findService(record.service);
   if (service != nullptr && service->coldPerSecond > 0) {
@@ -447,38 +448,38 @@
 }
 
 /// Marks as cold the workers that registered recently with a previous leader.
-void LeaderDuties::takeColdWorkers() {
+void LeaderDuties::markColdWorkers() {
   if (registrations_ == nullptr) {
     return;
   }
   for (const auto& [id, record] : state_.workers()) {
     if (const auto registeredAt = registrations_->of(id)) {
-      beginCold(record, workers_.at(id), *registeredAt);
+      markCold(record, workers_.at(id), *registeredAt);
     }
   }
 }
 
 /// A new worker looks least busy to each gateway, so each may send it all its requests. The result
 /// is the number of gateways whose total rate stays within what a cold worker can take.
-std::optional<std::size_t> LeaderDuties::mostGatewaysFor(const WorkerRecord& record,
-                                                         const WorkerStatus& status,
-                                                         base::TimePoint now) const {
+std::optional<std::size_t> LeaderDuties::maxGatewaysFor(const WorkerRecord& record,
+                                                        const WorkerStatus& status,
+                                                        base::TimePoint now) const {
   if (now >= status.coldUntil) {
     return std::nullopt;
   }
   const catalog::Service* service = document_->findService(record.service);
-  const double share = service == nullptr ? 0 : service->coldPerSecond;
-  const std::chrono::duration<double> heardFor = now - since_;
-  const double known = 1 - std::exp(-heardFor.count() / DecayingRate::kSeconds);
-  const double rate = demand_.serviceRate(record.service, now) / std::max(known, kLeastKnown);
+  const double coldRate = service == nullptr ? 0 : service->coldPerSecond;
+  const std::chrono::duration<double> leadingFor = now - since_;
+  const double knownShare = 1 - std::exp(-leadingFor.count() / DecayingRate::kSeconds);
+  const double rate = demand_.serviceRate(record.service, now) / std::max(knownShare, kMinKnown);
   const auto gateways = static_cast<double>(publisher_.gatewayCount());
-  if (known < kLeastKnown) {
+  if (knownShare < kMinKnown) {
     return 1;
   }
-  if (rate <= share) {
+  if (rate <= coldRate) {
     return std::nullopt;
   }
-  return static_cast<std::size_t>(std::max(1.0, std::floor(gateways * share / rate)));
+  return static_cast<std::size_t>(std::max(1.0, std::floor(gateways * coldRate / rate)));
 }
 
 bool LeaderDuties::isPlain(const std::string& service) const {
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -43,7 +43,7 @@
   LeaderDuties(const RegistryOptions& options, DocumentCache& documents, const CellState& state,
                consensus::Term term, base::ServerId self, runtime::EventLog& log,
                base::TimePoint now, const OrderTurns& turns,
-               std::optional<base::TimePoint> lastTurnAt = std::nullopt,
+               std::optional<base::TimePoint> lastTakeoverAt = std::nullopt,
                const RegistrationTimes* registrations = nullptr);
 
   /// @return true if this heartbeat requires a change of the worker's replicated record.
@@ -63,7 +63,8 @@
   void cutsReported(const CutReport& report, base::TimePoint now) { crashes_.report(report, now); }
   /// To be called only while this server holds a valid leader lease, as another leader would grant
   /// from the same quotas.
-  void quotaAsked(protocol::ConnectionId gateway, const QuotaRequest& request, base::TimePoint now);
+  void quotaRequested(protocol::ConnectionId gateway, const QuotaRequest& request,
+                      base::TimePoint now);
   void limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
                       base::TimePoint now);
   /// To be called only while this server holds a valid leader lease, as with quotas.
@@ -98,34 +99,34 @@
   };
 
   void refreshDocument(base::TimePoint now);
-  void takeWorkerChanges(base::TimePoint now);
-  void takeEveryWorker(base::TimePoint now);
-  void forgetWorkers(const std::set<WorkerId>& gone, base::TimePoint now);
+  void applyWorkerChanges(base::TimePoint now);
+  void refreshAllWorkers(base::TimePoint now);
+  void removeWorkers(const std::set<WorkerId>& gone, base::TimePoint now);
   void noteChanged(const WorkerId& id);
-  void noteHeldUp(base::TimePoint now);
-  void noteSilence(base::TimePoint now);
-  void noteHeard(const WorkerId& id, WorkerStatus& status, bool wasSilent, base::TimePoint now);
-  void reviewSilence(const WorkerId& id, WorkerStatus& status, base::TimePoint now);
-  void checkSilenceAt(const WorkerId& id, WorkerStatus& status, base::TimePoint at);
+  void detectSuspension(base::TimePoint now);
+  void checkOverdueWorkers(base::TimePoint now);
+  void recordContact(const WorkerId& id, WorkerStatus& status, bool wasSilent, base::TimePoint now);
+  void checkSilence(const WorkerId& id, WorkerStatus& status, base::TimePoint now);
+  void scheduleSilenceCheck(const WorkerId& id, WorkerStatus& status, base::TimePoint at);
   base::Duration heartbeatTime(double count) const;
-  base::TimePoint lastHeard(const WorkerStatus& status) const;
+  base::TimePoint lastContact(const WorkerStatus& status) const;
   void reviewCrashes(base::TimePoint now);
   void sendSuspects(base::TimePoint now);
   void sendSuspectsTo(protocol::ConnectionId gateway, base::TimePoint now);
   /// @return true if no new requests may be sent to the worker.
   bool outOfService(const WorkerRecord& record) const;
-  bool mayBeServed(const ModelDemand& demand) const;
+  bool canBeServed(const ModelDemand& demand) const;
   bool isPlain(const std::string& service) const;
   /// Marks the worker as cold: it started at that time, or its zone returned to service then.
-  void beginCold(const WorkerRecord& record, WorkerStatus& status, base::TimePoint at);
-  void takeColdWorkers();
+  void markCold(const WorkerRecord& record, WorkerStatus& status, base::TimePoint at);
+  void markColdWorkers();
   /// @return how many gateways may send to a cold worker; nothing: all of them.
-  std::optional<std::size_t> mostGatewaysFor(const WorkerRecord& record, const WorkerStatus& status,
-                                             base::TimePoint now) const;
+  std::optional<std::size_t> maxGatewaysFor(const WorkerRecord& record, const WorkerStatus& status,
+                                            base::TimePoint now) const;
   bool namesUnknownService(const Heartbeat& heartbeat) const;
-  bool isOfFormerLife(const Heartbeat& heartbeat, base::TimePoint now);
-  bool contestsALiveWorker(const Heartbeat& heartbeat, base::TimePoint now);
-  bool isSilent(const WorkerId& id, const WorkerStatus& status, base::TimePoint now) const;
+  bool isOutdated(const Heartbeat& heartbeat, base::TimePoint now);
+  bool contestsLiveWorker(const Heartbeat& heartbeat, base::TimePoint now);
+  bool isUnresponsive(const WorkerId& id, const WorkerStatus& status, base::TimePoint now) const;
   void detectOutliers(base::TimePoint now);
   void logAnswerChanges();
   void logQuotaChanges();
@@ -153,17 +154,17 @@
                                   base::TimePoint now) const;
   void carryOut(const std::vector<PlacementStep>& steps, base::TimePoint now);
   void record(const std::vector<PlacementStep>& steps, base::TimePoint now);
-  void claimWorkers(base::TimePoint now);
-  void dropUnrecorded(base::TimePoint now);
+  void recordAllWorkers(base::TimePoint now);
+  void cancelUnrecorded(base::TimePoint now);
   void cancel(const PlacementStep& step, base::TimePoint now);
   void send(const PlacementStep& step, base::TimePoint now);
   bool mayOrder(const WorkerId& worker, base::TimePoint now) const;
   void requestReport(const WorkerRecord& record, WorkerStatus& status);
   void askOverdueWorkers(base::TimePoint now);
   void refreshReports(base::TimePoint now);
-  base::TimePoint turnAllowedAt(std::optional<base::TimePoint> lastTurnAt) const;
+  base::TimePoint takeoverAllowedAt(std::optional<base::TimePoint> lastTakeoverAt) const;
   bool ordersAllowed(base::TimePoint now) const;
-  void claimOrders(base::TimePoint now);
+  void claimOrderLease(base::TimePoint now);
   base::Duration expectedTime(const PlacementStep& step, const WorkerRecord& record,
                               const WorkerStatus& status) const;
   void logDecisions(PlacementPolicy& policy, const StoreScheduler& store, base::TimePoint now);
@@ -185,7 +186,7 @@
   const OrderTurns& turns_;
   const RegistrationTimes* const registrations_;  ///< Null: none are known.
   /// Earliest takeover of the order lease, if another server held it last.
-  const base::TimePoint turnAllowedAt_;
+  const base::TimePoint takeoverAllowedAt_;
 
   std::shared_ptr<const catalog::Document> document_;
   base::TimePoint documentSince_;        ///< When this leader took over `document_`.
@@ -220,19 +221,19 @@
   std::map<std::uint64_t, Batch> batches_;
   std::uint64_t lastBatch_ = 0;
   bool holderProposed_ = false;
-  bool firstHolder_ = false;  ///< No server of the cell has held the order lease before this one.
-  bool workersClaimed_ = false;
+  bool isFirstHolder_ = false;  ///< No server of the cell has held the order lease before this one.
+  bool allWorkersRecorded_ = false;
   bool fenced_ = false;  ///< A worker has seen a higher fencing token: this leadership is over.
   base::TimePoint nextPlan_;
   base::TimePoint lastPlanAt_;
   base::TimePoint nextCheck_;  ///< Next check for unresponsive workers and holdings to store.
   base::TimePoint lastCheck_;
   /// Start of the period in which this leader has received heartbeats without interruption.
-  base::TimePoint hearingSince_;
+  base::TimePoint receivingSince_;
   /// @name Workers whose view may have changed
   /// @{
   std::set<WorkerId> changed_;
-  std::set<WorkerId> unstored_;  ///< Workers whose holdings may differ from the log.
+  std::set<WorkerId> unsavedHoldings_;  ///< Workers whose holdings may differ from the log.
   std::multimap<base::TimePoint, WorkerId> changesAt_;  ///< Changes that only time brings about.
   std::uint64_t workerChanges_ = 0;  ///< Count of CellState's worker changes, as last processed.
   std::uint64_t zoneChanges_ = 0;    ///< Count of CellState's zone changes, as last processed.
@@ -240,7 +241,7 @@
   /// When each worker is next checked for silence; an entry is valid only if it equals the
   /// `silenceCheckAt` of the worker's status.
   std::multimap<base::TimePoint, WorkerId> silenceChecks_;
-  bool workersKnown_ = false;  ///< All workers present at the start have been processed.
+  bool workersProcessed_ = false;  ///< All workers present at the start have been processed.
   bool planSoon_ = true;
   std::vector<RegistryAction> actions_;
   std::vector<Command> commands_;
--- a/src/registry/leader_turns.cpp
+++ b/src/registry/leader_order_lease.cpp
@@ -14,7 +14,7 @@
 
 /// Delay of a takeover where workers check fencing tokens: the age of reports plus a margin, so
 /// that reports cover all orders of the previous holder.
-constexpr base::Duration kFencedTurnDelay = std::chrono::milliseconds(500);
+constexpr base::Duration kFencedTakeoverDelay = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -27,13 +27,14 @@
 /// late orders of the previous holder are refused, so a single takeover needs no such wait, only
 /// reports that cover its orders; a second takeover within the lease does wait, as the first holder
 /// might be back. Without fencing the wait applies to each worker: see `mayOrder`.
-base::TimePoint LeaderDuties::turnAllowedAt(std::optional<base::TimePoint> lastTurnAt) const {
+base::TimePoint LeaderDuties::takeoverAllowedAt(
+    std::optional<base::TimePoint> lastTakeoverAt) const {
   if (!options_.ordersFenced) {
     return since_;
   }
   const base::Duration lease = options_.orderLease + kTurnMargin;
-  const bool recent = lastTurnAt && since_ < *lastTurnAt + lease;
-  return since_ + (recent ? lease : kFencedTurnDelay);
+  const bool isRecent = lastTakeoverAt && since_ < *lastTakeoverAt + lease;
+  return since_ + (isRecent ? lease : kFencedTakeoverDelay);
 }
 
 /// Without fencing, a worker that a previous holder ordered recently is not ordered before that
@@ -44,17 +45,17 @@
          now >= turns_.allowedAt(worker, since_, options_.orderLease);
 }
 
-void LeaderDuties::claimOrders(base::TimePoint now) {
+void LeaderDuties::claimOrderLease(base::TimePoint now) {
   const base::ServerId holder = state_.orderHolder();
   if (holder == self_ || holderProposed_ || document_ == nullptr) {
     return;
   }
   const bool first = holder == base::ServerId{};
-  if (!first && now < turnAllowedAt_) {
+  if (!first && now < takeoverAllowedAt_) {
     return;
   }
   holderProposed_ = true;
-  firstHolder_ = first;
+  isFirstHolder_ = first;
   commands_.emplace_back(StoreOrderHolder{self_});
   log_.write(LogEvent::orderTurn, {{"term", term_}, {"former", holder.value}});
 }
@@ -62,7 +63,7 @@
 /// A previous leader sends orders only under its lease, which has ended by `since_`; its last
 /// orders may still be in flight for `kTurnMargin`.
 FormerLoads LeaderDuties::formerLoads() const {
-  return firstHolder_ ? FormerLoads{std::nullopt} : FormerLoads{since_ + kTurnMargin};
+  return isFirstHolder_ ? FormerLoads{std::nullopt} : FormerLoads{since_ + kTurnMargin};
 }
 
 /// Without fencing, orders are committed to the log before they are sent, so that the next leader
@@ -96,12 +97,12 @@
 
 /// Once all orders of previous holders have expired, records all workers as last ordered by this
 /// server, so that it need not wait for any of them if it leads again after a restart.
-void LeaderDuties::claimWorkers(base::TimePoint now) {
+void LeaderDuties::recordAllWorkers(base::TimePoint now) {
   const base::TimePoint due = since_ + options_.orderLease + kTurnMargin + kRecordedOrderLifetime;
-  if (options_.ordersFenced || workersClaimed_ || now < due) {
+  if (options_.ordersFenced || allWorkersRecorded_ || now < due) {
     return;
   }
-  workersClaimed_ = true;
+  allWorkersRecorded_ = true;
   StoreOrderedWorkers command{self_, term_, ++lastBatch_, {}};
   for (const auto& [id, record] : state_.workers()) {
     if (state_.lastOrderedBy(id) != self_) {
@@ -114,7 +115,7 @@
 }
 
 /// Cancels orders whose log entries were lost, or delayed by a slow disk.
-void LeaderDuties::dropUnrecorded(base::TimePoint now) {
+void LeaderDuties::cancelUnrecorded(base::TimePoint now) {
   while (!batches_.empty() && now > batches_.begin()->second.plannedAt + kRecordedOrderLifetime) {
     const Batch late = std::move(batches_.begin()->second);
     batches_.erase(batches_.begin());
--- a/src/registry/leader_beliefs.cpp
+++ b/src/registry/leader_worker_health.cpp
@@ -19,9 +19,9 @@
 constexpr double kAliveHeartbeats = 1.5;
 /// Time between two checks from which the process is taken to have been suspended; several check
 /// intervals long.
-constexpr base::Duration kHeldUp = std::chrono::milliseconds(300);
+constexpr base::Duration kSuspensionThreshold = std::chrono::milliseconds(300);
 /// Bound of `contests_`: callers that sent a single heartbeat are never removed one by one.
-constexpr std::size_t kMostContests = 1024;
+constexpr std::size_t kMaxOpenContests = 1024;
 
 std::uint64_t percent(double share) {
   constexpr double kHundred = 100;
@@ -52,8 +52,8 @@
 
 /// A heartbeat of a previous incarnation changes nothing. As the clock of a worker may be set back,
 /// the registered incarnation is forgotten if it is unresponsive; the next heartbeat is accepted.
-bool LeaderDuties::isOfFormerLife(const Heartbeat& heartbeat, base::TimePoint now) {
-  const WorkerRecord* present = state_.findLife(heartbeat.worker.calledName());
+bool LeaderDuties::isOutdated(const Heartbeat& heartbeat, base::TimePoint now) {
+  const WorkerRecord* present = state_.findIncarnation(heartbeat.worker.calledName());
   if (present == nullptr || !present->succeeds(heartbeat.worker)) {
     return false;
   }
@@ -73,51 +73,52 @@
 /// incarnation registered at the same endpoint; accepting it would remove the present incarnation
 /// for good. An unknown worker replaces a live one only after a second heartbeat, or if it is known
 /// to be a later incarnation of the same worker.
-bool LeaderDuties::contestsALiveWorker(const Heartbeat& heartbeat, base::TimePoint now) {
+bool LeaderDuties::contestsLiveWorker(const Heartbeat& heartbeat, base::TimePoint now) {
   const WorkerId& id = heartbeat.worker.id;
   if (state_.findWorker(id) != nullptr) {
     contests_.erase(id);
     return false;
   }
   const std::chrono::duration<double> alive = kAliveHeartbeats * options_.heartbeatInterval;
-  const std::set<WorkerId>& there = state_.workersAt(heartbeat.worker.endpoint);
-  const bool contested = std::any_of(there.begin(), there.end(), [&](const WorkerId& other) {
-    const auto status = workers_.find(other);
-    return !heartbeat.worker.succeeds(*state_.findWorker(other)) && status != workers_.end() &&
-           now - status->second.lastHeard < alive;
-  });
+  const std::set<WorkerId>& atEndpoint = state_.workersAt(heartbeat.worker.endpoint);
+  const bool contested =
+      std::any_of(atEndpoint.begin(), atEndpoint.end(), [&](const WorkerId& other) {
+        const auto status = workers_.find(other);
+        return !heartbeat.worker.succeeds(*state_.findWorker(other)) && status != workers_.end() &&
+               now - status->second.lastContact < alive;
+      });
   if (!contested) {
     contests_.erase(id);
     return false;
   }
-  if (contests_.size() >= kMostContests) {
+  if (contests_.size() >= kMaxOpenContests) {
     contests_.clear();
   }
-  const auto [former, first] = contests_.try_emplace(id, heartbeat.sequence);
-  return first || heartbeat.sequence <= former->second;
+  const auto [contest, first] = contests_.try_emplace(id, heartbeat.sequence);
+  return first || heartbeat.sequence <= contest->second;
 }
 
 /// Heartbeats that came while this process was suspended are still unread or lost, so silence is
 /// counted from the end of the suspension.
-void LeaderDuties::noteHeldUp(base::TimePoint now) {
-  if (now - std::exchange(lastCheck_, now) > kHeldUp) {
-    hearingSince_ = now;
+void LeaderDuties::detectSuspension(base::TimePoint now) {
+  if (now - std::exchange(lastCheck_, now) > kSuspensionThreshold) {
+    receivingSince_ = now;
   }
 }
 
-base::TimePoint LeaderDuties::lastHeard(const WorkerStatus& status) const {
-  return std::max(status.lastHeard, hearingSince_);
+base::TimePoint LeaderDuties::lastContact(const WorkerStatus& status) const {
+  return std::max(status.lastContact, receivingSince_);
 }
 
 void LeaderDuties::reviewCrashes(base::TimePoint now) {
   const std::chrono::duration<double> overdue =
       options_.overdueHeartbeats * options_.heartbeatInterval;
-  crashes_.review(
-      now, std::chrono::duration_cast<base::Duration>(overdue),
-      [this, now](const WorkerId& id) -> CrashMonitor::Signs {
-        const WorkerStatus& status = statusOf(id, now);
-        return {status.heard ? std::optional(status.lastHeard) : std::nullopt, lastHeard(status)};
-      });
+  crashes_.review(now, std::chrono::duration_cast<base::Duration>(overdue),
+                  [this, now](const WorkerId& id) -> CrashMonitor::Signs {
+                    const WorkerStatus& status = statusOf(id, now);
+                    return {status.hasContact ? std::optional(status.lastContact) : std::nullopt,
+                            lastContact(status)};
+                  });
   for (Command& command : crashes_.takeCommands()) {
     commands_.push_back(std::move(command));
   }
@@ -147,43 +148,44 @@
   return std::chrono::duration_cast<base::Duration>(time);
 }
 
-void LeaderDuties::checkSilenceAt(const WorkerId& id, WorkerStatus& status, base::TimePoint at) {
-  status.silenceCheckAt = at;
+void LeaderDuties::scheduleSilenceCheck(const WorkerId& id, WorkerStatus& status,
+                                        base::TimePoint at) {
+  status.nextSilenceCheck = at;
   silenceChecks_.emplace(at, id);
 }
 
 /// Checks only the workers whose heartbeat is overdue.
-void LeaderDuties::noteSilence(base::TimePoint now) {
+void LeaderDuties::checkOverdueWorkers(base::TimePoint now) {
   while (!silenceChecks_.empty() && silenceChecks_.begin()->first <= now) {
     const auto [due, id] = *silenceChecks_.begin();
     silenceChecks_.erase(silenceChecks_.begin());
     const auto found = workers_.find(id);
-    if (found != workers_.end() && found->second.silenceCheckAt == due) {
-      reviewSilence(id, found->second, now);
+    if (found != workers_.end() && found->second.nextSilenceCheck == due) {
+      checkSilence(id, found->second, now);
     }
   }
 }
 
-void LeaderDuties::reviewSilence(const WorkerId& id, WorkerStatus& status, base::TimePoint now) {
-  const base::TimePoint overdueAt = lastHeard(status) + heartbeatTime(options_.overdueHeartbeats);
+void LeaderDuties::checkSilence(const WorkerId& id, WorkerStatus& status, base::TimePoint now) {
+  const base::TimePoint overdueAt = lastContact(status) + heartbeatTime(options_.overdueHeartbeats);
   const base::TimePoint soon = now + base::Duration(1);
   if (state_.findWorker(id) == nullptr) {
-    checkSilenceAt(id, status, std::max(overdueAt, soon));
+    scheduleSilenceCheck(id, status, std::max(overdueAt, soon));
     return;
   }
-  const base::Duration silence = now - lastHeard(status);
-  if (!status.silent && isSilent(id, status, now)) {
+  const base::Duration silence = now - lastContact(status);
+  if (!status.silent && isUnresponsive(id, status, now)) {
     status.silent = true;
     forgetLoad(*state_.findWorker(id));
     noteChanged(id);
     log_.write(LogEvent::workerSilent, {{"worker", id.value}});
   }
   if (silence > options_.workerForgottenAfter) {
-    status.lastHeard = now;  // Proposes it once, and again only after another such period.
+    status.lastContact = now;  // Proposes it once, and again only after another such period.
     commands_.emplace_back(ForgetWorker{id});
   }
-  const base::TimePoint forgottenAt = lastHeard(status) + options_.workerForgottenAfter;
-  checkSilenceAt(id, status, std::max(soon, status.silent ? forgottenAt : overdueAt));
+  const base::TimePoint forgottenAt = lastContact(status) + options_.workerForgottenAfter;
+  scheduleSilenceCheck(id, status, std::max(soon, status.silent ? forgottenAt : overdueAt));
 }
 
 void LeaderDuties::detectOutliers(base::TimePoint now) {
@@ -260,12 +262,12 @@
   }
 }
 
-bool LeaderDuties::isSilent(const WorkerId& id, const WorkerStatus& status,
-                            base::TimePoint now) const {
+bool LeaderDuties::isUnresponsive(const WorkerId& id, const WorkerStatus& status,
+                                  base::TimePoint now) const {
   const double heartbeats =
       demand_.unreachable(id) ? options_.overdueHeartbeats : options_.silentHeartbeats;
   const std::chrono::duration<double> limit = heartbeats * options_.heartbeatInterval;
-  return now - lastHeard(status) > limit;
+  return now - lastContact(status) > limit;
 }
 
 }  // namespace walnut::registry
--- a/src/registry/registry_calls.cpp
+++ b/src/registry/registry_calls.cpp
@@ -146,7 +146,7 @@
 }
 
 void RegistryImpl::decide(std::uint64_t call, const ReportGone& body) {
-  const WorkerRecord* present = body.bornMillis == 0 ? state_.findLife(body.name) : nullptr;
+  const WorkerRecord* present = body.bornMillis == 0 ? state_.findIncarnation(body.name) : nullptr;
   const WorkerId worker = present == nullptr ? workerIdOf(body.name, body.bornMillis) : present->id;
   if (state_.wasForgotten(worker)) {
     answerDone(call);
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -73,7 +73,7 @@
   if (raftOutputs.installed) {
     const auto restored = state_.restore(raftOutputs.installed->data);
     if (restored.has_error()) {
-      noteUnreadable(raftOutputs.installed->lastIndex, restored.error());
+      setUnreadable(raftOutputs.installed->lastIndex, restored.error());
     }
     appliedIndex_ = raftOutputs.installed->lastIndex;
     bytesSinceSnapshot_ = 0;
@@ -238,7 +238,7 @@
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const QuotaRequest& message) {
   if (isActiveLeader() && raft_->leaseValid(now_)) {
-    leading_->quotaAsked(from, message, now_);
+    leading_->quotaRequested(from, message, now_);
   }
 }
 
@@ -307,8 +307,9 @@
 void RegistryImpl::beginLeading(const consensus::RaftStatus& status) {
   activeIndex_ = status.lastIndex;
   membershipPolicy_.emplace(MembershipPolicyOptions{options_.tolerableLosses}, now_);
-  leading_ = std::make_unique<LeaderDuties>(options_, documents_, state_, status.term, status.self,
-                                            log_, now_, orderTurns_, lastTurnAt_, &registrations_);
+  leading_ =
+      std::make_unique<LeaderDuties>(options_, documents_, state_, status.term, status.self, log_,
+                                     now_, orderTurns_, lastTakeoverAt_, &registrations_);
   pendingDocumentVersion_ = 0;
   proposedLevel_ = 0;
 }
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -115,9 +115,9 @@
   void confirmDocuments();
   void applyEntries(const std::vector<consensus::LogEntry>& entries);
   void applyEntry(const consensus::LogEntry& entry);
-  void noteUnreadable(consensus::LogIndex index, const base::Error& error);
-  void noteRegistration(const Command& command, consensus::LogIndex index);
-  void noteSuccession(const Command& command);
+  void setUnreadable(consensus::LogIndex index, const base::Error& error);
+  void recordRegistration(const Command& command, consensus::LogIndex index);
+  void recordSuccession(const Command& command);
   void noteApplied(const Command& command, consensus::LogIndex index);
   void noteOrdered(const StoreOrderedWorkers& ordered, consensus::LogIndex index);
   void takeSnapshotIfDue();
@@ -181,7 +181,7 @@
   consensus::LogIndex lastMembershipIndex_ = 0;
 
   /// When this process last saw a server take over the order lease.
-  std::optional<base::TimePoint> lastTurnAt_;
+  std::optional<base::TimePoint> lastTakeoverAt_;
   OrderTurns orderTurns_;
   RegistrationTimes registrations_;
   const consensus::LogIndex recoveredIndex_;  ///< Last entry of the recovered log.
--- a/src/registry/registry_state.cpp
+++ b/src/registry/registry_state.cpp
@@ -28,12 +28,12 @@
     bytesSinceSnapshot_ += entry.payload.size();
     const auto command = decodeCommand(entry.payload);
     if (command) {
-      noteRegistration(command.value(), entry.index);
-      noteSuccession(command.value());
+      recordRegistration(command.value(), entry.index);
+      recordSuccession(command.value());
       state_.apply(command.value());
       noteApplied(command.value(), entry.index);
     } else {
-      noteUnreadable(entry.index, command.error());
+      setUnreadable(entry.index, command.error());
       return;
     }
   }
@@ -47,7 +47,7 @@
   }
 }
 
-void RegistryImpl::noteUnreadable(consensus::LogIndex index, const base::Error& error) {
+void RegistryImpl::setUnreadable(consensus::LogIndex index, const base::Error& error) {
   log_.write(LogEvent::entryRefused, {{"index", index},
                                       {"error", base::errorCodeName(error.code)},
                                       {"field", error.field},
@@ -75,7 +75,7 @@
     }
     orderTurns_.forget(gone->worker);
   } else if (std::holds_alternative<StoreOrderHolder>(command) && index > recoveredIndex_) {
-    lastTurnAt_ = now_;
+    lastTakeoverAt_ = now_;
   } else if (const auto* ordered = std::get_if<StoreOrderedWorkers>(&command)) {
     noteOrdered(*ordered, index);
   } else if (const auto* raised = std::get_if<RaiseFeatureLevel>(&command)) {
@@ -92,7 +92,7 @@
 }
 
 /// Records when a new worker registered; to be called before the command is applied.
-void RegistryImpl::noteRegistration(const Command& command, consensus::LogIndex index) {
+void RegistryImpl::recordRegistration(const Command& command, consensus::LogIndex index) {
   const auto* stored = std::get_if<StoreWorker>(&command);
   if (stored != nullptr && index > recoveredIndex_ &&
       state_.findWorker(stored->worker.id) == nullptr) {
@@ -102,12 +102,12 @@
 
 /// Passes on the last order time of a worker's previous incarnation; to be called before the
 /// command is applied.
-void RegistryImpl::noteSuccession(const Command& command) {
+void RegistryImpl::recordSuccession(const Command& command) {
   const auto* stored = std::get_if<StoreWorker>(&command);
   if (stored == nullptr) {
     return;
   }
-  const WorkerRecord* former = state_.findLife(stored->worker.calledName());
+  const WorkerRecord* former = state_.findIncarnation(stored->worker.calledName());
   if (former != nullptr && stored->worker.succeeds(*former)) {
     orderTurns_.succeeded(former->id, stored->worker.id);
     log_.write(LogEvent::workerReborn,
--- a/src/registry/worker_status.cpp
+++ b/src/registry/worker_status.cpp
@@ -25,8 +25,8 @@
     return false;
   }
   lastSequence = heartbeat.sequence;
-  lastHeard = now;
-  heard = true;
+  lastContact = now;
+  hasContact = true;
   silent = false;
   holdingsHash = hashOf(heartbeat);
   if (!heartbeat.holdingsKnown) {
@@ -46,8 +46,8 @@
 bool WorkerStatus::takeContact(const WorkerContact& worker, base::TimePoint now) {
   if (worker.sequence >= lastSequence) {
     lastSequence = worker.sequence;
-    lastHeard = now;
-    heard = true;
+    lastContact = now;
+    hasContact = true;
     silent = false;
   }
   return holdingsHash == worker.holdingsHash;
@@ -78,8 +78,8 @@
     return;
   }
   orderCount = report.orderCount;
-  lastHeard = now;
-  heard = true;
+  lastContact = now;
+  hasContact = true;
   silent = false;
   std::vector<std::string> inMemory = std::move(reported_.inMemory);
   std::vector<std::string> onDisk = std::move(reported_.onDisk);
--- a/src/registry/worker_status.h
+++ b/src/registry/worker_status.h
@@ -37,11 +37,11 @@
 /// carries that count, so that at most one of all orders with an unclear outcome is carried out.
 class WorkerStatus {
  public:
-  explicit WorkerStatus(base::TimePoint now) : lastHeard(now) {}
+  explicit WorkerStatus(base::TimePoint now) : lastContact(now) {}
 
-  base::TimePoint lastHeard;         ///< Last contact, or when the worker became known.
-  bool heard = false;                ///< True if the worker made contact with this leader.
-  base::TimePoint silenceCheckAt;    ///< Next check whether the worker is unresponsive.
+  base::TimePoint lastContact;       ///< Last contact, or when the worker became known.
+  bool hasContact = false;           ///< True if the worker made contact with this leader.
+  base::TimePoint nextSilenceCheck;  ///< Next check whether the worker is unresponsive.
   base::TimePoint holdingsStoredAt;  ///< When its holdings were last proposed for the log.
   std::uint64_t lastSequence = 0;
   std::uint64_t holdingsHash = 0;  ///< Hash of the last heartbeat whose holdings count; 0: none.
--- a/test/registry/leader_duties_kit.h
+++ b/test/registry/leader_duties_kit.h
@@ -89,9 +89,9 @@
     }
   }
 
-  void lead(std::optional<base::TimePoint> lastTurnAt = std::nullopt) {
+  void lead(std::optional<base::TimePoint> lastTakeoverAt = std::nullopt) {
     duties = std::make_unique<LeaderDuties>(options, documents, state, kTerm, kSelf, log, now,
-                                            turns, lastTurnAt);
+                                            turns, lastTakeoverAt);
   }
   /// Runs the leader and applies its commands immediately.
   void run(base::Duration duration) {
--- a/test/registry/worker_lives_test.cpp
+++ b/test/registry/worker_incarnations_test.cpp
@@ -37,7 +37,7 @@
     }
     return stores;
   }
-  const WorkerRecord* present() { return state.findLife("w"); }
+  const WorkerRecord* present() { return state.findIncarnation("w"); }
 };
 
 TEST(WorkerLivesTest, aNewLifeIsHeardAtOnceThoughItsCountStartsAnew) {
