--- a/src/registry/crash_monitor.cpp
+++ b/src/registry/crash_monitor.cpp
@@ -11,35 +11,35 @@
 
 /// Latest arrival, after the cut, of a heartbeat that was in flight when its worker ended: a link
 /// takes some ms.
-constexpr base::Duration kUnderWay = std::chrono::milliseconds(100);
+constexpr base::Duration kMaxHeartbeatDelay = std::chrono::milliseconds(100);
 /// Time after which a lost log entry is proposed again; entries are applied within some ms.
-constexpr base::Duration kProposeAgain = std::chrono::seconds(1);
+constexpr base::Duration kProposalRetryInterval = std::chrono::seconds(1);
 /// Time for which gateways hold a request; longer than until a worker's heartbeat is overdue.
-constexpr base::Duration kHeldFor = std::chrono::seconds(2);
+constexpr base::Duration kHoldPeriod = std::chrono::seconds(2);
 /// Time for which a request that has reached the crash limit is held after its last crash, before
 /// it is quarantined, if there are other suspects. These are retried meanwhile, and the crashes
 /// they cause clear or confirm it. Longer than until a worker's heartbeat is overdue, shorter than
 /// gateways hold a request.
-constexpr base::Duration kSettleFor = std::chrono::milliseconds(1800);
+constexpr base::Duration kSettlePeriod = std::chrono::milliseconds(1800);
 /// Length of the time slices in which suspects below the limit run, half of them in each: suspects
 /// that are retried together would be cut together again and could not be told apart. As long as
 /// most requests stay at a worker, and no longer than gateways hold a request.
-constexpr base::Duration kTurn = std::chrono::seconds(2);
+constexpr base::Duration kTimeSlice = std::chrono::seconds(2);
 /// Time after a request's last crash in which it is confined to time slices; callers have retried
 /// by then. It bounds the updates to gateways.
-constexpr base::Duration kTurnsLast = std::chrono::seconds(10);
+constexpr base::Duration kTimeSlicingPeriod = std::chrono::seconds(10);
 /// Interval in which suspects are classified again as time passes.
-constexpr base::Duration kJudgeInterval = std::chrono::milliseconds(250);
+constexpr base::Duration kClassifyInterval = std::chrono::milliseconds(250);
 /// @name Bounds of the data that gateways report
 /// @{
-constexpr std::size_t kMostPending = 256;
-constexpr std::size_t kMostRequestsOfOne = 256;
+constexpr std::size_t kMaxPendingCrashes = 256;
+constexpr std::size_t kMaxRequestsPerCrash = 256;
 /// @}
 
 /// @return true if the suspect may run in the present time slice; drawn anew for each slice.
-bool hasTurn(const RequestDigest& request, base::TimePoint now) {
-  const auto turn = static_cast<std::size_t>(now.time_since_epoch() / kTurn);
-  return request.bytes.at(turn % request.bytes.size()) % 2 == 0;
+bool isInTimeSlice(const RequestDigest& request, base::TimePoint now) {
+  const auto slice = static_cast<std::size_t>(now.time_since_epoch() / kTimeSlice);
+  return request.bytes.at(slice % request.bytes.size()) % 2 == 0;
 }
 
 std::string_view standingName(RequestStanding standing) {
@@ -78,7 +78,7 @@
 
 void CrashMonitor::report(const CutReport& report, base::TimePoint now) {
   for (const RequestCut& cut : report.cuts) {
-    const bool full = pending_.size() >= kMostPending && pending_.count(cut.worker) == 0;
+    const bool full = pending_.size() >= kMaxPendingCrashes && pending_.count(cut.worker) == 0;
     if (full || state_.requestCrashes().has(cut.request, cut.worker)) {
       continue;
     }
@@ -86,28 +86,28 @@
     PendingCrash& pending = found->second;
     const base::TimePoint cutAt = now - std::max(cut.age, base::Duration::zero());
     pending.cutAt = added ? cutAt : std::min(pending.cutAt, cutAt);
-    if (pending.requests.size() < kMostRequestsOfOne) {
+    if (pending.requests.size() < kMaxRequestsPerCrash) {
       bool& begun = pending.requests[cut.request];
       begun = begun || cut.begun;
       pending.proposedAt.reset();
     }
     dirty_ = true;
   }
-  std::vector<RequestDigest> acquitted;
+  std::vector<RequestDigest> cleared;
   for (const RequestDigest& request : report.answered) {
     for (auto& [worker, pending] : pending_) {
       pending.requests.erase(request);
     }
     if (state_.requestCrashes().evidence().count(request) != 0) {
-      acquitted.push_back(request);
+      cleared.push_back(request);
     }
   }
-  if (!acquitted.empty()) {
-    commands_.emplace_back(ReleaseSuspects{std::move(acquitted), false});
+  if (!cleared.empty()) {
+    commands_.emplace_back(ReleaseSuspects{std::move(cleared), false});
   }
 }
 
-void CrashMonitor::heard(const WorkerId& worker) {
+void CrashMonitor::recordContact(const WorkerId& worker) {
   const RequestCrashLedger& ledger = state_.requestCrashes();
   if (!ledger.empty() && ledger.knows(worker) && retracting_.insert(worker).second) {
     log_.write(LogEvent::crashRetracted, {{"worker", worker.value}});
@@ -116,32 +116,32 @@
 }
 
 void CrashMonitor::review(base::TimePoint now, base::Duration overdueAfter,
-                          const SignsOf& signsOf) {
+                          const ContactOf& contactOf) {
   const RequestCrashLedger& ledger = state_.requestCrashes();
   if (pending_.empty() && ledger.empty() && suspects_.empty()) {
     return;
   }
   for (auto& [worker, pending] : pending_) {
-    decide(worker, pending, now, overdueAfter, signsOf);
+    decide(worker, pending, now, overdueAfter, contactOf);
   }
-  const auto settled =
+  const auto emptied =
       std::erase_if(pending_, [](const auto& entry) { return entry.second.requests.empty(); });
   std::erase_if(retracting_, [&ledger](const WorkerId& id) { return !ledger.knows(id); });
-  if (dirty_ || settled > 0 || (!suspects_.empty() && now >= judgedAt_ + kJudgeInterval)) {
+  if (dirty_ || emptied > 0 || (!suspects_.empty() && now >= classifiedAt_ + kClassifyInterval)) {
     dirty_ = false;
-    judge(now);
+    classify(now);
   }
   ageEvidence(now);
 }
 
 void CrashMonitor::decide(const WorkerId& worker, PendingCrash& pending, base::TimePoint now,
-                          base::Duration overdueAfter, const SignsOf& signsOf) {
+                          base::Duration overdueAfter, const ContactOf& contactOf) {
   const RequestCrashLedger& ledger = state_.requestCrashes();
   if (!ledger.empty()) {
     std::erase_if(pending.requests,
                   [&](const auto& entry) { return ledger.has(entry.first, worker); });
   }
-  const bool proposed = pending.proposedAt && now < *pending.proposedAt + kProposeAgain;
+  const bool proposed = pending.proposedAt && now < *pending.proposedAt + kProposalRetryInterval;
   if (pending.requests.empty() || proposed) {
     return;
   }
@@ -150,15 +150,16 @@
     confirm(worker, pending, "replaced", now);
     return;
   }
-  const Signs signs = signsOf(worker);
-  const bool alive = signs.heardAt && *signs.heardAt > pending.cutAt + kUnderWay;
+  const Contact contact = contactOf(worker);
+  const bool alive =
+      contact.lastHeartbeat && *contact.lastHeartbeat > pending.cutAt + kMaxHeartbeatDelay;
   if (alive || record->leaving) {
     log_.write(LogEvent::crashDenied, {{"worker", worker.value},
                                        {"evidence", std::string_view(alive ? "heard" : "leaving")},
                                        {"requests", std::uint64_t{pending.requests.size()}},
                                        {"age-millis", millisOf(now - pending.cutAt)}});
     pending.requests.clear();
-  } else if (now > signs.silentSince + overdueAfter) {
+  } else if (now > contact.unresponsiveSince + overdueAfter) {
     confirm(worker, pending, "silent", now);
   }
 }
@@ -186,7 +187,7 @@
 }
 
 /// @return the requests that would be classified as causes if all pending crashes were confirmed.
-std::set<RequestDigest> CrashMonitor::expectedGuilty() const {
+std::set<RequestDigest> CrashMonitor::expectedCauses() const {
   const RequestCrashLedger& known = state_.requestCrashes();
   const bool close =
       std::any_of(known.evidence().begin(), known.evidence().end(),
@@ -202,19 +203,19 @@
   return expected.guilty();
 }
 
-void CrashMonitor::judge(base::TimePoint now) {
-  judgedAt_ = now;
+void CrashMonitor::classify(base::TimePoint now) {
+  classifiedAt_ = now;
   const RequestCrashLedger& ledger = state_.requestCrashes();
-  const std::set<RequestDigest> guilty = ledger.guilty();
-  const std::set<RequestDigest> likely = expectedGuilty();
+  const std::set<RequestDigest> causes = ledger.guilty();
+  const std::set<RequestDigest> likelyCauses = expectedCauses();
   for (const auto& [request, evidence] : ledger.evidence()) {
     auto& [latest, since] = evidenceAt_[request];
     if (latest != evidence.lastCrash) {
       latest = evidence.lastCrash;
       since = now;
     }
-    if (const auto standing = standingOf(request, evidence, guilty, likely, now)) {
-      note(request, *standing, evidence, now);
+    if (const auto standing = standingOf(request, evidence, causes, likelyCauses, now)) {
+      setStanding(request, *standing, evidence, now);
     }
   }
   release(now);
@@ -222,20 +223,21 @@
 
 std::optional<RequestStanding> CrashMonitor::standingOf(
     const RequestDigest& request, const RequestCrashLedger::Evidence& evidence,
-    const std::set<RequestDigest>& guilty, const std::set<RequestDigest>& likely,
+    const std::set<RequestDigest>& causes, const std::set<RequestDigest>& likelyCauses,
     base::TimePoint now) const {
-  if (guilty.count(request) != 0) {
-    return settled(request, evidence, now) ? RequestStanding::quarantined : RequestStanding::held;
+  if (causes.count(request) != 0) {
+    return canQuarantine(request, evidence, now) ? RequestStanding::quarantined
+                                                 : RequestStanding::held;
   }
   if (!RequestCrashLedger::close(evidence)) {
     return std::nullopt;
   }
   const std::size_t crashes = evidence.crashes.size() + evidence.queuedAt.size();
-  const bool waitsForTurn = crashes < control::crash::kLimit && !hasTurn(request, now) &&
-                            now < evidenceAt_.at(request).second + kTurnsLast &&
-                            state_.requestCrashes().contested(request);
-  return waitsForTurn || likely.count(request) != 0 ? RequestStanding::held
-                                                    : RequestStanding::suspected;
+  const bool waitsForSlice = crashes < control::crash::kLimit && !isInTimeSlice(request, now) &&
+                             now < evidenceAt_.at(request).second + kTimeSlicingPeriod &&
+                             state_.requestCrashes().contested(request);
+  return waitsForSlice || likelyCauses.count(request) != 0 ? RequestStanding::held
+                                                           : RequestStanding::suspected;
 }
 
 bool CrashMonitor::hasOtherSuspects(const RequestDigest& request) const {
@@ -246,18 +248,18 @@
 }
 
 /// @return true if a request classified as a cause may be quarantined without further delay.
-bool CrashMonitor::settled(const RequestDigest& request,
-                           const RequestCrashLedger::Evidence& evidence,
-                           base::TimePoint now) const {
+bool CrashMonitor::canQuarantine(const RequestDigest& request,
+                                 const RequestCrashLedger::Evidence& evidence,
+                                 base::TimePoint now) const {
   const auto known = suspects_.find(request);
   const bool refused =
       known != suspects_.end() && known->second.standing == RequestStanding::quarantined;
   return refused || evidence.crashes.size() != control::crash::kLimit ||
-         now >= evidenceAt_.at(request).second + kSettleFor || !hasOtherSuspects(request);
+         now >= evidenceAt_.at(request).second + kSettlePeriod || !hasOtherSuspects(request);
 }
 
-void CrashMonitor::note(const RequestDigest& request, RequestStanding standing,
-                        const RequestCrashLedger::Evidence& evidence, base::TimePoint now) {
+void CrashMonitor::setStanding(const RequestDigest& request, RequestStanding standing,
+                               const RequestCrashLedger::Evidence& evidence, base::TimePoint now) {
   const auto crashes =
       static_cast<std::uint32_t>(evidence.crashes.size() + evidence.queuedAt.size());
   const auto [found, added] = suspects_.try_emplace(request);
@@ -301,7 +303,7 @@
 void CrashMonitor::ageEvidence(base::TimePoint now) {
   std::vector<RequestDigest> old;
   for (auto& [request, evidence] : evidenceAt_) {
-    if (now >= evidence.second + kEvidenceLasts) {
+    if (now >= evidence.second + kEvidenceRetention) {
       evidence.second = now;  // Proposes it once, and again only after another such period.
       old.push_back(request);
     }
@@ -317,8 +319,8 @@
     const auto evidence = evidenceAt_.find(request);
     const base::TimePoint until =
         suspect.standing == RequestStanding::held || evidence == evidenceAt_.end()
-            ? now + kHeldFor
-            : evidence->second.second + kEvidenceLasts;
+            ? now + kHoldPeriod
+            : evidence->second.second + kEvidenceRetention;
     list.requests.push_back({request, suspect.standing, suspect.crashes,
                              std::max(until - now, base::Duration::zero())});
   }
--- a/src/registry/crash_monitor.h
+++ b/src/registry/crash_monitor.h
@@ -25,26 +25,26 @@
 ///
 /// Standings of a request: none -> suspected (one crash below the limit, and in its time slice) <->
 /// held (outside its time slice, or while the next crash is pending or new) -> quarantined (at the
-/// limit) -> suspected, after `kEvidenceLasts`; or none, once the request is answered.
+/// limit) -> suspected, after `kEvidenceRetention`; or none, once the request is answered.
 class CrashMonitor {
  public:
   /// Contact of this leader with a worker.
-  struct Signs {
-    std::optional<base::TimePoint> heardAt;  ///< Last heartbeat; nothing: none yet.
-    base::TimePoint silentSince;             ///< Counts only time in which contact was possible.
+  struct Contact {
+    std::optional<base::TimePoint> lastHeartbeat;  ///< Last heartbeat; nothing: none yet.
+    base::TimePoint unresponsiveSince;  ///< Counts only time in which contact was possible.
   };
-  using SignsOf = std::function<Signs(const WorkerId&)>;
+  using ContactOf = std::function<Contact(const WorkerId&)>;
 
   CrashMonitor(const CellState& state, runtime::EventLog& log) : state_(state), log_(log) {}
 
   void report(const CutReport& report, base::TimePoint now);
   /// Records a heartbeat of the worker; retracts its crash if one was recorded.
-  void heard(const WorkerId& worker);
+  void recordContact(const WorkerId& worker);
   /// To be called when the replicated state may have changed.
   void stateChanged() { dirty_ = true; }
   /// Confirms or denies pending crashes and updates the standings of requests.
   /// @param overdueAfter time without contact after which a worker counts as ended.
-  void review(base::TimePoint now, base::Duration overdueAfter, const SignsOf& signsOf);
+  void review(base::TimePoint now, base::Duration overdueAfter, const ContactOf& contactOf);
 
   std::vector<Command> takeCommands() { return std::exchange(commands_, {}); }
   /// @return true if `list` has changed since the last call.
@@ -53,7 +53,7 @@
 
   /// Retention period of evidence. A request that crashes workers does so until they run other
   /// software, and costs one worker per period. Callers retry for seconds or minutes.
-  static constexpr base::Duration kEvidenceLasts = std::chrono::minutes(10);
+  static constexpr base::Duration kEvidenceRetention = std::chrono::minutes(10);
 
  private:
   struct PendingCrash {
@@ -68,22 +68,22 @@
   };
 
   void decide(const WorkerId& worker, PendingCrash& pending, base::TimePoint now,
-              base::Duration overdueAfter, const SignsOf& signsOf);
+              base::Duration overdueAfter, const ContactOf& contactOf);
   static StoreCrash crashOf(const WorkerId& worker, const PendingCrash& pending);
   void confirm(const WorkerId& worker, PendingCrash& pending, std::string_view evidence,
                base::TimePoint now);
-  void judge(base::TimePoint now);
-  std::set<RequestDigest> expectedGuilty() const;
+  void classify(base::TimePoint now);
+  std::set<RequestDigest> expectedCauses() const;
   std::optional<RequestStanding> standingOf(const RequestDigest& request,
                                             const RequestCrashLedger::Evidence& evidence,
-                                            const std::set<RequestDigest>& guilty,
-                                            const std::set<RequestDigest>& likely,
+                                            const std::set<RequestDigest>& causes,
+                                            const std::set<RequestDigest>& likelyCauses,
                                             base::TimePoint now) const;
   bool hasOtherSuspects(const RequestDigest& request) const;
-  bool settled(const RequestDigest& request, const RequestCrashLedger::Evidence& evidence,
-               base::TimePoint now) const;
-  void note(const RequestDigest& request, RequestStanding standing,
-            const RequestCrashLedger::Evidence& evidence, base::TimePoint now);
+  bool canQuarantine(const RequestDigest& request, const RequestCrashLedger::Evidence& evidence,
+                     base::TimePoint now) const;
+  void setStanding(const RequestDigest& request, RequestStanding standing,
+                   const RequestCrashLedger::Evidence& evidence, base::TimePoint now);
   void release(base::TimePoint now);
   void ageEvidence(base::TimePoint now);
 
@@ -94,7 +94,7 @@
   /// Last crash of each request's evidence, and when this leader first saw it.
   std::map<RequestDigest, std::pair<std::uint64_t, base::TimePoint>> evidenceAt_;
   std::set<WorkerId> retracting_;
-  base::TimePoint judgedAt_;
+  base::TimePoint classifiedAt_;
   bool dirty_ = true;
   bool changed_ = false;
   std::vector<Command> commands_;
--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -110,7 +110,7 @@
 
 void LeaderDuties::recordContact(const WorkerId& id, WorkerStatus& status, bool wasSilent,
                                  base::TimePoint now) {
-  crashes_.heard(id);
+  crashes_.recordContact(id);
   if (wasSilent && !status.silent) {
     noteChanged(id);
     planSoon_ = true;
--- a/src/registry/leader_worker_health.cpp
+++ b/src/registry/leader_worker_health.cpp
@@ -114,7 +114,7 @@
   const std::chrono::duration<double> overdue =
       options_.overdueHeartbeats * options_.heartbeatInterval;
   crashes_.review(now, std::chrono::duration_cast<base::Duration>(overdue),
-                  [this, now](const WorkerId& id) -> CrashMonitor::Signs {
+                  [this, now](const WorkerId& id) -> CrashMonitor::Contact {
                     const WorkerStatus& status = statusOf(id, now);
                     return {status.hasContact ? std::optional(status.lastContact) : std::nullopt,
                             lastContact(status)};
--- a/test/registry/crash_monitor_test.cpp
+++ b/test/registry/crash_monitor_test.cpp
@@ -30,8 +30,8 @@
   runtime::NullEventLog log;
   std::unique_ptr<CrashMonitor> monitor = std::make_unique<CrashMonitor>(state, log);
   base::TimePoint now = base::TimePoint(100s);
-  std::map<WorkerId, base::TimePoint> heardAt;
-  base::TimePoint hearingSince = now;
+  std::map<WorkerId, base::TimePoint> heartbeatAt;
+  base::TimePoint receivingSince = now;
   bool logTakesCommands = true;
 
   void setup() override {
@@ -42,11 +42,11 @@
   void add(const char* id, std::uint16_t port = 0, bool leaving = false) {
     const auto own = static_cast<std::uint16_t>(port == 0 ? id[1] : port);
     state.apply(StoreWorker{{{id}, "svc", {"10.0.1.1", own}, {}, 4, leaving}});
-    heard(id);
+    heartbeat(id);
   }
-  void heard(const char* id) {
-    heardAt[{id}] = now;
-    monitor->heard({id});
+  void heartbeat(const char* id) {
+    heartbeatAt[{id}] = now;
+    monitor->recordContact({id});
     commit();
   }
   void cut(const char* worker, std::vector<RequestDigest> requests, base::Duration age = 0s) {
@@ -66,19 +66,19 @@
   }
   void run(base::Duration duration) {
     for (const base::TimePoint end = now + duration; now < end; now += kStep) {
-      monitor->review(now, kOverdue, [this](const WorkerId& id) -> CrashMonitor::Signs {
-        const auto found = heardAt.find(id);
-        if (found == heardAt.end()) {
-          return {std::nullopt, hearingSince};
+      monitor->review(now, kOverdue, [this](const WorkerId& id) -> CrashMonitor::Contact {
+        const auto found = heartbeatAt.find(id);
+        if (found == heartbeatAt.end()) {
+          return {std::nullopt, receivingSince};
         }
-        return {found->second, std::max(found->second, hearingSince)};
+        return {found->second, std::max(found->second, receivingSince)};
       });
       commit();
     }
   }
   /// Lets the worker make contact, then crash with these requests.
   void crash(const char* worker, const std::vector<RequestDigest>& requests) {
-    heard(worker);
+    heartbeat(worker);
     cut(worker, requests);
     run(kOverdue + 2 * kStep);
   }
@@ -103,7 +103,7 @@
 TEST(CrashMonitorTest, aWorkerThatIsHeardAfterTheCutHasNotEnded) {
   cut("w1", {kRequest});
   run(500ms);
-  heard("w1");
+  heartbeat("w1");
   run(5s);
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
@@ -111,7 +111,7 @@
 TEST(CrashMonitorTest, aHeartbeatThatWasUnderWayAtTheCutProvesNothing) {
   cut("w1", {kRequest});
   now += 20ms;
-  heard("w1");
+  heartbeat("w1");
   run(kOverdue + 2 * kStep);
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
@@ -142,7 +142,7 @@
 TEST(CrashMonitorTest, whatIsTakenForACrashIsTakenBackIfTheWorkerIsHeard) {
   crash("w1", {kRequest});
   CHECK_EQUAL(1, crashesOf(kRequest));
-  heard("w1");
+  heartbeat("w1");
   run(kStep);
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
@@ -152,7 +152,7 @@
   checkStanding(kRequest, std::nullopt);
   crash("w2", {kRequest});
   checkStanding(kRequest, RequestStanding::suspected);
-  heard("w3");
+  heartbeat("w3");
   cut("w3", {kRequest});
   run(kStep);
   checkStanding(kRequest, RequestStanding::held);
@@ -165,15 +165,15 @@
 TEST(CrashMonitorTest, suspectsOfTheSameCrashesRunInTurns) {
   RequestDigest first = digest(1);
   RequestDigest second = digest(2);
-  for (std::size_t turn = 0; turn < first.bytes.size(); ++turn) {
-    first.bytes[turn] = static_cast<std::uint8_t>(turn);
-    second.bytes[turn] = static_cast<std::uint8_t>(turn + 1);
+  for (std::size_t slice = 0; slice < first.bytes.size(); ++slice) {
+    first.bytes[slice] = static_cast<std::uint8_t>(slice);
+    second.bytes[slice] = static_cast<std::uint8_t>(slice + 1);
   }
   crash("w1", {first, second});
   crash("w2", {first, second});
   bool firstRan = false;
   bool secondRan = false;
-  for (int turn = 0; turn < 3; ++turn) {
+  for (int slice = 0; slice < 3; ++slice) {
     run(2s);
     const bool firstRuns = standingOf(first) == RequestStanding::suspected;
     const bool secondRuns = standingOf(second) == RequestStanding::suspected;
@@ -210,11 +210,11 @@
 TEST(CrashMonitorTest, aHeldRequestGoesOnIfTheWorkerHadNotEnded) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
-  heard("w3");
+  heartbeat("w3");
   cut("w3", {kRequest});
   run(200ms);
   checkStanding(kRequest, RequestStanding::held);
-  heard("w3");
+  heartbeat("w3");
   run(2 * kStep);
   checkStanding(kRequest, RequestStanding::suspected);
 }
@@ -231,8 +231,8 @@
 
 TEST(CrashMonitorTest, aNewLeaderTakesReportsOfCutsFromBeforeIt) {
   now += 10s;
-  hearingSince = now;
-  heardAt.clear();
+  receivingSince = now;
+  heartbeatAt.clear();
   cut("w1", {kRequest}, 2s);
   run(kOverdue);
   CHECK_EQUAL(0, crashesOf(kRequest));
@@ -263,9 +263,9 @@
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   crash("w3", {kRequest});
-  now += CrashMonitor::kEvidenceLasts;
+  now += CrashMonitor::kEvidenceRetention;
   for (const char* id : {"w4"}) {
-    heardAt[{id}] = now;
+    heartbeatAt[{id}] = now;
   }
   run(2 * kStep);
   checkStanding(kRequest, RequestStanding::suspected);
