--- a/src/registry/document_cache.cpp
+++ b/src/registry/document_cache.cpp
@@ -11,7 +11,7 @@
 
 /// Half the number of changes that an operator may have in progress at once: a document of
 /// thousands of routes takes a megabyte or more.
-constexpr std::size_t kMostEntries = 4;
+constexpr std::size_t kMaxEntries = 4;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   }
   BOOST_OUTCOME_TRY(document, reader_.read(text));
   entries_.push_front({key, std::make_shared<const catalog::Document>(std::move(document))});
-  if (entries_.size() > kMostEntries) {
+  if (entries_.size() > kMaxEntries) {
     entries_.pop_back();
   }
   return entries_.front().document;
--- a/src/registry/document_confirmer.h
+++ b/src/registry/document_confirmer.h
@@ -21,45 +21,45 @@
   /// second that is twice the number of heartbeats, however many gateways send queries.
   static constexpr base::Duration kRoundSpacing = std::chrono::milliseconds(50);
 
-  struct Question {
+  struct Query {
     protocol::ConnectionId gateway;
     std::uint64_t sequence = 0;
   };
 
-  void asked(protocol::ConnectionId gateway, const ConfirmDocument& question) {
-    waiting_.push_back({gateway, question.sequence});
+  void addQuery(protocol::ConnectionId gateway, const ConfirmDocument& query) {
+    waitingQueries_.push_back({gateway, query.sequence});
   }
 
   /// @return true if a round should begin now.
   bool roundDue(base::TimePoint now) const {
-    return !confirming_ && !waiting_.empty() && now >= nextRound_;
+    return !isConfirming_ && !waitingQueries_.empty() && now >= nextRound_;
   }
   /// @return when `roundDue` becomes true without further queries.
   base::TimePoint nextRound() const {
-    return confirming_ || waiting_.empty() ? base::kNever : nextRound_;
+    return isConfirming_ || waitingQueries_.empty() ? base::kNever : nextRound_;
   }
   /// Begins a round that answers all queries received so far.
   /// @param token token of the linearizable read.
   void begin(std::uint64_t token, base::TimePoint now) {
     token_ = token;
-    confirming_ = true;
-    inRound_ = std::exchange(waiting_, {});
+    isConfirming_ = true;
+    roundQueries_ = std::exchange(waitingQueries_, {});
     nextRound_ = now + kRoundSpacing;
   }
 
-  bool confirming() const { return confirming_; }
+  bool isConfirming() const { return isConfirming_; }
   std::uint64_t token() const { return token_; }
   /// Ends the round, whose read is confirmed. @return the queries that it answers.
-  std::vector<Question> takeConfirmed() {
-    confirming_ = false;
-    return std::exchange(inRound_, {});
+  std::vector<Query> takeConfirmed() {
+    isConfirming_ = false;
+    return std::exchange(roundQueries_, {});
   }
 
  private:
-  std::vector<Question> waiting_;
-  std::vector<Question> inRound_;
+  std::vector<Query> waitingQueries_;
+  std::vector<Query> roundQueries_;
   std::uint64_t token_ = 0;
-  bool confirming_ = false;
+  bool isConfirming_ = false;
   base::TimePoint nextRound_;
 };
 
--- a/src/registry/document_sender.cpp
+++ b/src/registry/document_sender.cpp
@@ -20,16 +20,16 @@
 /// The limit is 26 MB/s. At 10 us of a core per kilobyte (docs/incidents, figures of the leader)
 /// that takes less than half of 0.6 cores, and leaves the event loop to consensus every few ms.
 /// @{
-constexpr std::size_t kMostTurnBytes = 8 * kPartBytes;
+constexpr std::size_t kMaxSliceBytes = 8 * kPartBytes;
 constexpr base::Duration kPartsSpacing = std::chrono::milliseconds(10);
-constexpr std::size_t kLeastPartBytes = 4U << 10U;
+constexpr std::size_t kMinPartBytes = 4U << 10U;
 /// @}
 /// Most changes that a gateway may have missed and still be sent a delta.
-constexpr std::size_t kFormerDocuments = 4;
+constexpr std::size_t kMaxPreviousDocuments = 4;
 
 }  // namespace
 
-DocumentSender::DocumentSender() : turnBytes_(kMostTurnBytes, kPartsSpacing) {}
+DocumentSender::DocumentSender() : sliceBytes_(kMaxSliceBytes, kPartsSpacing) {}
 
 void DocumentSender::subscribe(protocol::ConnectionId id, std::uint64_t heldVersion,
                                const DocumentCursor& cursor) {
@@ -44,9 +44,9 @@
 
 void DocumentSender::setDocument(std::shared_ptr<const catalog::Document> document) {
   if (document_ != nullptr) {
-    former_.push_front(std::move(document_));
-    if (former_.size() > kFormerDocuments) {
-      former_.pop_back();
+    previous_.push_front(std::move(document_));
+    if (previous_.size() > kMaxPreviousDocuments) {
+      previous_.pop_back();
     }
   }
   document_ = std::move(document);
@@ -76,7 +76,7 @@
   queueIfReady(id, gateway);
 }
 
-bool DocumentSender::mayTake(const Gateway& gateway) const {
+bool DocumentSender::canReceive(const Gateway& gateway) const {
   if (gateway.content == nullptr) {
     return document_ != nullptr && gateway.heldVersion < document_->version;
   }
@@ -85,7 +85,7 @@
 }
 
 void DocumentSender::queueIfReady(protocol::ConnectionId id, Gateway& gateway) {
-  if (!gateway.queued && mayTake(gateway)) {
+  if (!gateway.queued && canReceive(gateway)) {
     gateway.queued = true;
     ready_.push_back(id);
   }
@@ -93,7 +93,7 @@
 
 std::vector<DocumentSender::Part> DocumentSender::takeParts(base::TimePoint now) {
   std::vector<Part> parts;
-  while (!ready_.empty() && now >= turnBytes_.next()) {
+  while (!ready_.empty() && now >= sliceBytes_.next()) {
     const protocol::ConnectionId id = ready_.front();
     ready_.pop_front();
     const auto found = gateways_.find(id);
@@ -102,21 +102,21 @@
     }
     Gateway& gateway = found->second;
     gateway.queued = false;
-    if (!mayTake(gateway)) {
+    if (!canReceive(gateway)) {
       continue;
     }
     if (gateway.content == nullptr) {
       beginTransfer(gateway);
     }
     parts.push_back({id, nextPart(gateway)});
-    turnBytes_.take(now, std::max(kLeastPartBytes, parts.back().part.bytes.size()));
+    sliceBytes_.take(now, std::max(kMinPartBytes, parts.back().part.bytes.size()));
     queueIfReady(id, gateway);
   }
   return parts;
 }
 
 base::TimePoint DocumentSender::nextParts() const {
-  return ready_.empty() ? base::kNever : turnBytes_.next();
+  return ready_.empty() ? base::kNever : sliceBytes_.next();
 }
 
 void DocumentSender::beginTransfer(Gateway& gateway) {
@@ -153,10 +153,10 @@
 
 std::shared_ptr<const DocumentSender::Encoded> DocumentSender::makeContent(
     std::uint64_t heldVersion) {
-  for (const auto& former : former_) {
-    if (former->version == heldVersion) {
+  for (const auto& previous : previous_) {
+    if (previous->version == heldVersion) {
       return encode(document_->version, heldVersion,
-                    catalog::packDelta(catalog::makeDelta(*former, *document_)));
+                    catalog::packDelta(catalog::makeDelta(*previous, *document_)));
     }
   }
   return wholeContent();
--- a/src/registry/document_sender.h
+++ b/src/registry/document_sender.h
@@ -67,18 +67,18 @@
   std::shared_ptr<const Encoded> makeContent(std::uint64_t heldVersion);
   const std::shared_ptr<const Encoded>& wholeContent();
   void queueIfReady(protocol::ConnectionId id, Gateway& gateway);
-  bool mayTake(const Gateway& gateway) const;
+  bool canReceive(const Gateway& gateway) const;
   void beginTransfer(Gateway& gateway);
   static DocumentPart nextPart(Gateway& gateway);
 
   std::shared_ptr<const catalog::Document> document_;
   /// Previous documents, newest first: a gateway that holds one of them is sent a delta.
-  std::deque<std::shared_ptr<const catalog::Document>> former_;
+  std::deque<std::shared_ptr<const catalog::Document>> previous_;
   std::shared_ptr<const Encoded> whole_;  ///< The whole `document_`; null until it is needed.
   std::map<std::uint64_t, std::shared_ptr<const Encoded>> contents_;  ///< By held version.
   std::map<protocol::ConnectionId, Gateway> gateways_;
   std::deque<protocol::ConnectionId> ready_;  ///< Gateways to be sent a part, round robin.
-  TurnLimit turnBytes_;
+  TurnLimit sliceBytes_;
   bool deliveryReported_ = true;
 };
 
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -232,7 +232,7 @@
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const ConfirmDocument& message) {
   if (isActiveLeader()) {
-    confirmer_.asked(from, message);
+    confirmer_.addQuery(from, message);
   }
 }
 
@@ -359,17 +359,16 @@
   if (!isActiveLeader()) {
     return;
   }
-  if (confirmer_.confirming()) {
+  if (confirmer_.isConfirming()) {
     const auto ready = raft_->readReady(confirmer_.token());
     if (ready.has_error()) {
       confirmer_ = {};
       return;
     }
     if (ready.value() && appliedIndex_ >= *ready.value()) {
-      for (const DocumentConfirmer::Question& question : confirmer_.takeConfirmed()) {
+      for (const DocumentConfirmer::Query& query : confirmer_.takeConfirmed()) {
         actions_.emplace_back(control::SendToConnection{
-            question.gateway,
-            wrap(DocumentConfirmed{question.sequence, state_.documentVersion()})});
+            query.gateway, wrap(DocumentConfirmed{query.sequence, state_.documentVersion()})});
       }
     }
   }
--- a/src/registry/worker_status.cpp
+++ b/src/registry/worker_status.cpp
@@ -32,7 +32,7 @@
   if (!heartbeat.holdingsKnown) {
     return true;
   }
-  if (reportFresh && !explains(heartbeat.holdings)) {
+  if (reportFresh && !ordersExplain(heartbeat.holdings)) {
     reportFresh = false;
     holdingsHash = 0;
     return true;
@@ -57,14 +57,14 @@
 /// heartbeat may have been in flight for seconds, and the sequence can't show that for the first
 /// one that a leader receives. Models change by orders only, so a heartbeat that differs from the
 /// last report without an order to explain it was sent before that report.
-bool WorkerStatus::explains(const Holdings& holdings) const {
-  const auto ordered = [this](const std::string& model) {
+bool WorkerStatus::ordersExplain(const Holdings& holdings) const {
+  const auto isOrdered = [this](const std::string& model) {
     return (modelOrder && modelOrder->model == model) ||
            (sentOrder && sentOrder->adapter.empty() && sentOrder->model == model);
   };
-  const auto within = [&ordered](const Holdings& inner, const Holdings& outer) {
+  const auto within = [&isOrdered](const Holdings& inner, const Holdings& outer) {
     return std::all_of(inner.models.begin(), inner.models.end(), [&](const HeldModel& held) {
-      return outer.find(held.name) != nullptr || ordered(held.name);
+      return outer.find(held.name) != nullptr || isOrdered(held.name);
     });
   };
   return within(holdings, reported_) && within(reported_, holdings);
--- a/src/registry/worker_status.h
+++ b/src/registry/worker_status.h
@@ -104,7 +104,7 @@
   };
   using AdapterKey = std::pair<std::string, std::string>;
 
-  bool explains(const Holdings& holdings) const;
+  bool ordersExplain(const Holdings& holdings) const;
   void finishModelOrder();
   static void setAdapter(std::vector<HeldModel>& models, const AdapterKey& key, bool present);
 
