--- a/include/walnut/registry/view_codec.h
+++ b/include/walnut/registry/view_codec.h
@@ -22,7 +22,7 @@
   std::uint64_t epoch = 0;                         ///< Epoch of the encoder's name numbers.
   std::vector<bool> names;                         ///< True for names sent, by number.
   std::map<std::uint32_t, std::uint64_t> records;  ///< Revisions sent, by number of the worker.
-  bool takesLimits = false;                        ///< The gateway reads limits of workers.
+  bool acceptsLimits = false;                      ///< The gateway reads limits of workers.
 };
 
 /// Encoder of views; the leader has one for all gateways. Views must be sent in the order in which
@@ -30,7 +30,7 @@
 class ViewEncoder {
  public:
   /// Most names that are numbered before the numbering is reset: workers and models come and go.
-  static constexpr std::size_t kMostNames = 1U << 16U;
+  static constexpr std::size_t kMaxNames = 1U << 16U;
 
   /// @param cursor state of the receiver; a complete view resets it.
   std::string encode(const ViewUpdate& view, ViewCursor& cursor);
@@ -44,7 +44,7 @@
 
   std::uint32_t numberOf(const std::string& name);
   bool recordIsNew(std::uint32_t worker, const WorkerRecord& record, ViewCursor& cursor);
-  void startAnewIfFull();
+  void resetIfFull();
   void writeChanged(const WorkerView& view, ViewCursor& cursor, Writer& writer);
 
   std::uint64_t epoch_ = 1;
--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -141,8 +141,8 @@
   demand_.update(gateway, update, now);
   for (const ModelDemand& demand : update.demands) {
     if (canBeServed(demand)) {
-      publisher_.asked(gateway, {demand.service, demand.model, demand.adapter}, demand.waiting > 0,
-                       now);
+      publisher_.recordRequest(gateway, {demand.service, demand.model, demand.adapter},
+                               demand.waiting > 0, now);
     }
   }
   for (const WorkerOutcomes& outcomes : update.outcomes) {
@@ -384,7 +384,7 @@
 /// Caches the loads in large fleets: collecting them takes time in proportion to the number of
 /// busy workers, for each of many updates.
 const std::vector<WorkerLoad>& LeaderDuties::recentLoads(base::TimePoint now) {
-  if (publisher_.tellsAll() || now >= loadsTakenAt_ + kLoadsInterval) {
+  if (publisher_.sendsAllWorkers() || now >= loadsTakenAt_ + kLoadsInterval) {
     loads_ = demand_.loads();
     loadsTakenAt_ = now;
   }
--- a/src/registry/view_codec.cpp
+++ b/src/registry/view_codec.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr unsigned kBitsPerByte = 7;
-constexpr unsigned kMostShift = 63;
+constexpr unsigned kMaxShift = 63;
 constexpr std::uint8_t kMoreBytes = 0x80;
 constexpr std::uint8_t kValueBits = 0x7f;
 
 /// @name Flags of a view and of a worker in it
 /// @{
 constexpr std::uint64_t kComplete = 1;
-constexpr std::uint64_t kNamesAnew = 2;
+constexpr std::uint64_t kResetsNames = 2;
 constexpr std::uint64_t kWithRecord = 1;
 constexpr std::uint64_t kSilent = 2;
 constexpr std::uint64_t kHoldingsKnown = 4;
@@ -87,8 +87,8 @@
   return numbers_.try_emplace(name, static_cast<std::uint32_t>(numbers_.size())).first->second;
 }
 
-void ViewEncoder::startAnewIfFull() {
-  if (numbers_.size() >= kMostNames) {
+void ViewEncoder::resetIfFull() {
+  if (numbers_.size() >= kMaxNames) {
     numbers_.clear();
     records_.clear();
     ++epoch_;
@@ -102,14 +102,14 @@
     held.record = record;
     ++held.revision;
   }
-  std::uint64_t& told = cursor.records[worker];
-  return std::exchange(told, held.revision) != held.revision;
+  std::uint64_t& sent = cursor.records[worker];
+  return std::exchange(sent, held.revision) != held.revision;
 }
 
 void ViewEncoder::writeChanged(const WorkerView& view, ViewCursor& cursor, Writer& writer) {
   const std::uint32_t worker = writer.name(view.record.id.value);
   const bool withRecord = recordIsNew(worker, view.record, cursor);
-  const bool limited = view.limit && cursor.takesLimits;
+  const bool limited = view.limit && cursor.acceptsLimits;
   writer.number((withRecord ? kWithRecord : 0) | (view.silent ? kSilent : 0) |
                 (view.failing ? kFailing : 0) | (view.holdingsKnown ? kHoldingsKnown : 0) |
                 (limited ? kLimited : 0));
@@ -138,9 +138,9 @@
 }
 
 std::string ViewEncoder::encode(const ViewUpdate& view, ViewCursor& cursor) {
-  startAnewIfFull();
-  const bool namesAnew = view.complete || cursor.epoch != epoch_;
-  if (namesAnew) {
+  resetIfFull();
+  const bool resetsNames = view.complete || cursor.epoch != epoch_;
+  if (resetsNames) {
     cursor.names.clear();
     cursor.records.clear();
     cursor.epoch = epoch_;
@@ -167,7 +167,7 @@
     writer.text(server.address);
     writer.number(server.port);
   }
-  return writer.finish((view.complete ? kComplete : 0) | (namesAnew ? kNamesAnew : 0));
+  return writer.finish((view.complete ? kComplete : 0) | (resetsNames ? kResetsNames : 0));
 }
 
 /// Reads values of a view. Fails permanently at the first unreadable value; all further values are
@@ -179,7 +179,7 @@
 
   std::uint64_t number() {
     std::uint64_t value = 0;
-    for (unsigned shift = 0; shift <= kMostShift && !rest_.empty(); shift += kBitsPerByte) {
+    for (unsigned shift = 0; shift <= kMaxShift && !rest_.empty(); shift += kBitsPerByte) {
       const auto byte = static_cast<std::uint8_t>(rest_.front());
       rest_.remove_prefix(1);
       value |= (std::uint64_t{byte} & kValueBits) << shift;
@@ -232,7 +232,7 @@
   for (std::uint64_t index = 0; index < count && !reader.failed(); ++index) {
     const auto number = reader.number<std::uint32_t>();
     std::string name = reader.text();
-    if (number >= ViewEncoder::kMostNames * 2) {
+    if (number >= ViewEncoder::kMaxNames * 2) {
       reader.fail();
       return;
     }
@@ -287,7 +287,7 @@
 base::Result<ViewUpdate> ViewDecoder::decode(std::string_view bytes) {
   Reader reader(bytes, names_);
   const std::uint64_t flags = reader.number();
-  if ((flags & kNamesAnew) != 0) {
+  if ((flags & kResetsNames) != 0) {
     names_.clear();
     records_.clear();
   }
--- a/src/registry/view_interest.cpp
+++ b/src/registry/view_interest.cpp
@@ -13,7 +13,7 @@
   Gateway& gateway = gateways_[id];
   gateway.zone = zone;
   for (const ModelKey& key : plain_) {
-    require(id, gateway, key, kPlainWorkers, {});
+    requireWorkers(id, gateway, key, kPlainWorkers, {});
   }
 }
 
@@ -31,7 +31,7 @@
   gateways_.erase(found);
 }
 
-void ViewInterest::followed(GatewayId id, const WorkerId& worker) {
+void ViewInterest::markFollowed(GatewayId id, const WorkerId& worker) {
   const auto found = workers_.find(worker);
   if (found != workers_.end()) {
     found->second.followers.insert(id);
@@ -66,8 +66,8 @@
   worker.slots = view.record.slots;
   std::set<ModelKey> serves = servedBy(view, plain);
   const bool moved = !added && worker.zone != view.record.zone;
-  const std::set<ModelKey> former = std::exchange(worker.serves, {});
-  for (const ModelKey& key : former) {
+  const std::set<ModelKey> previous = std::exchange(worker.serves, {});
+  for (const ModelKey& key : previous) {
     if (moved || serves.count(key) == 0) {
       stoppedServing(id, worker, key);
     }
@@ -75,7 +75,7 @@
   worker.zone = view.record.zone;
   worker.serves = std::move(serves);
   for (const ModelKey& key : worker.serves) {
-    if (moved || former.count(key) == 0) {
+    if (moved || previous.count(key) == 0) {
       startedServing(id, worker, key);
     }
   }
@@ -86,14 +86,14 @@
   if (found == workers_.end()) {
     return;
   }
-  const Worker ended = std::move(found->second);
+  const Worker removed = std::move(found->second);
   workers_.erase(found);
-  for (const GatewayId gateway : ended.followers) {
+  for (const GatewayId gateway : removed.followers) {
     gateways_.at(gateway).follows.erase(id);
     changes_.push_back({gateway, id, false});
   }
-  for (const ModelKey& key : ended.serves) {
-    stoppedServing(id, ended, key);
+  for (const ModelKey& key : removed.serves) {
+    stoppedServing(id, removed, key);
   }
 }
 
@@ -109,7 +109,7 @@
   serving_[key][worker.zone].emplace(worker.hash, id);
   if (key.model.empty() && plain_.insert(key).second) {
     for (auto& [gatewayId, gateway] : gateways_) {
-      require(gatewayId, gateway, key, kPlainWorkers, {});
+      requireWorkers(gatewayId, gateway, key, kPlainWorkers, {});
     }
     return;
   }
@@ -119,7 +119,7 @@
   }
   const std::set<GatewayId> all = unmet->second;
   for (const GatewayId gateway : all) {
-    fill(gateway, gateways_.at(gateway), key);
+    followEnough(gateway, gateways_.at(gateway), key);
   }
 }
 
@@ -129,12 +129,13 @@
   for (const GatewayId gatewayId : followers) {
     Gateway& gateway = gateways_.at(gatewayId);
     if (gateway.needs.count(key) != 0) {
-      fill(gatewayId, gateway, key);
+      followEnough(gatewayId, gateway, key);
     }
   }
 }
 
-void ViewInterest::asked(GatewayId id, const ModelKey& key, bool waiting, base::TimePoint now) {
+void ViewInterest::recordRequest(GatewayId id, const ModelKey& key, bool waiting,
+                                 base::TimePoint now) {
   const auto found = gateways_.find(id);
   if (found == gateways_.end()) {
     return;
@@ -143,22 +144,23 @@
   const auto known = gateway.needs.find(key);
   std::size_t workers = kModelWorkers;
   if (known != gateway.needs.end()) {
-    const bool more = known->second.workers < servingCount(key) && (waiting || busy(gateway, key));
+    const bool more =
+        known->second.workers < servingCount(key) && (waiting || isBusy(gateway, key));
     workers = known->second.workers * (more ? 2 : 1);
   }
-  require(id, gateway, key, workers, now);
-  if (gateway.follows.size() > kMostFollowed) {
-    dropUseless(id, gateway, now);
+  requireWorkers(id, gateway, key, workers, now);
+  if (gateway.follows.size() > kMaxFollowed) {
+    dropUnneeded(id, gateway, now);
   }
 }
 
-void ViewInterest::require(GatewayId id, Gateway& gateway, const ModelKey& key, std::size_t workers,
-                           base::TimePoint now) {
+void ViewInterest::requireWorkers(GatewayId id, Gateway& gateway, const ModelKey& key,
+                                  std::size_t workers, base::TimePoint now) {
   Need& need = gateway.needs[key];
-  need.askedAt = now;
+  need.requestedAt = now;
   if (need.workers < workers) {
     need.workers = workers;
-    fill(id, gateway, key);
+    followEnough(id, gateway, key);
   }
 }
 
@@ -180,7 +182,7 @@
   return serving;
 }
 
-bool ViewInterest::busy(const Gateway& gateway, const ModelKey& key) const {
+bool ViewInterest::isBusy(const Gateway& gateway, const ModelKey& key) const {
   double slots = 0;
   double running = 0;
   for (const WorkerId& id : followedFor(gateway, key)) {
@@ -192,7 +194,7 @@
 }
 
 /// Makes the gateway follow as many workers for the key as it needs, if there are enough.
-void ViewInterest::fill(GatewayId id, Gateway& gateway, const ModelKey& key) {
+void ViewInterest::followEnough(GatewayId id, Gateway& gateway, const ModelKey& key) {
   const std::size_t needed = gateway.needs.at(key).workers;
   const std::size_t followed = followedFor(gateway, key).size();
   if (followed < needed) {
@@ -248,11 +250,11 @@
   changes_.push_back({id, workerId, true});
 }
 
-void ViewInterest::dropUseless(GatewayId id, Gateway& gateway, base::TimePoint now) {
+void ViewInterest::dropUnneeded(GatewayId id, Gateway& gateway, base::TimePoint now) {
   std::set<WorkerId> useful;
   for (auto next = gateway.needs.begin(); next != gateway.needs.end();) {
     const auto& [key, need] = *next;
-    if (!key.model.empty() && now >= need.askedAt + kInterestLasts) {
+    if (!key.model.empty() && now >= need.requestedAt + kInterestPeriod) {
       unmet_[key].erase(id);
       next = gateway.needs.erase(next);
       continue;
@@ -262,8 +264,8 @@
     }
     ++next;
   }
-  const std::set<WorkerId> former = std::exchange(gateway.follows, useful);
-  for (const WorkerId& worker : former) {
+  const std::set<WorkerId> previous = std::exchange(gateway.follows, useful);
+  for (const WorkerId& worker : previous) {
     if (useful.count(worker) == 0) {
       workers_.at(worker).followers.erase(id);
       changes_.push_back({id, worker, false});
--- a/src/registry/view_interest.h
+++ b/src/registry/view_interest.h
@@ -36,14 +36,14 @@
   /// Share of busy slots of the followed workers above which a gateway follows more workers.
   static constexpr double kBusyShare = 0.25;
   /// Number of followed workers above which a gateway drops those that it no longer needs.
-  static constexpr std::size_t kMostFollowed = 512;
+  static constexpr std::size_t kMaxFollowed = 512;
   /// A gateway no longer needs a model that was not requested from it for this time.
-  static constexpr base::Duration kInterestLasts = std::chrono::minutes(1);
+  static constexpr base::Duration kInterestPeriod = std::chrono::minutes(1);
 
   void addGateway(GatewayId gateway, const base::ZoneId& zone);
   void removeGateway(GatewayId gateway);
   /// Records that a gateway already was sent a worker by other means.
-  void followed(GatewayId gateway, const WorkerId& worker);
+  void markFollowed(GatewayId gateway, const WorkerId& worker);
 
   /// @param plain true if the worker belongs to a plain service, all of whose workers are equal.
   void setWorker(const WorkerView& view, bool plain);
@@ -52,7 +52,7 @@
 
   /// Records that a model or adapter was requested from the gateway.
   /// @param waiting true if requests for it wait there: the followed workers are not enough.
-  void asked(GatewayId gateway, const ModelKey& key, bool waiting, base::TimePoint now);
+  void recordRequest(GatewayId gateway, const ModelKey& key, bool waiting, base::TimePoint now);
 
   const std::set<GatewayId>& followersOf(const WorkerId& worker) const;
   const std::set<WorkerId>& followedBy(GatewayId gateway) const;
@@ -69,7 +69,7 @@
  private:
   struct Need {
     std::size_t workers = 0;  ///< Number of workers to follow.
-    base::TimePoint askedAt;
+    base::TimePoint requestedAt;
   };
   struct Gateway {
     base::ZoneId zone;
@@ -90,17 +90,17 @@
   using Rings = std::map<base::ZoneId, Ring>;
 
   static std::set<ModelKey> servedBy(const WorkerView& view, bool plain);
-  void require(GatewayId id, Gateway& gateway, const ModelKey& key, std::size_t workers,
-               base::TimePoint now);
-  void fill(GatewayId id, Gateway& gateway, const ModelKey& key);
+  void requireWorkers(GatewayId id, Gateway& gateway, const ModelKey& key, std::size_t workers,
+                      base::TimePoint now);
+  void followEnough(GatewayId id, Gateway& gateway, const ModelKey& key);
   void followMore(GatewayId id, Gateway& gateway, const ModelKey& key, std::size_t most);
   std::vector<WorkerId> unfollowed(GatewayId id, const Gateway& gateway, const Rings& rings,
                                    std::size_t most) const;
   std::vector<WorkerId> followedFor(const Gateway& gateway, const ModelKey& key) const;
   std::size_t servingCount(const ModelKey& key) const;
-  bool busy(const Gateway& gateway, const ModelKey& key) const;
+  bool isBusy(const Gateway& gateway, const ModelKey& key) const;
   void follow(GatewayId id, Gateway& gateway, const WorkerId& workerId);
-  void dropUseless(GatewayId id, Gateway& gateway, base::TimePoint now);
+  void dropUnneeded(GatewayId id, Gateway& gateway, base::TimePoint now);
   void startedServing(const WorkerId& id, const Worker& worker, const ModelKey& key);
   void stoppedServing(const WorkerId& id, const Worker& worker, const ModelKey& key);
 
--- a/src/registry/view_publisher.cpp
+++ b/src/registry/view_publisher.cpp
@@ -31,19 +31,19 @@
 }
 
 ViewPublisher::ViewPublisher(base::Duration interval)
-    : interval_(interval), completeUpdates_(kMostCompleteUpdates, kCompleteSpacing) {}
+    : interval_(interval), completeUpdates_(kMaxCompleteUpdates, kCompleteSpacing) {}
 
 void ViewPublisher::subscribe(protocol::ConnectionId id, const base::ZoneId& zone,
                               std::uint32_t featureLevel) {
   unsubscribe(id);
   gateways_[id].zone = zone;
-  gateways_[id].cursor.takesLimits = featureLevel >= feature::kWorkerLimits;
+  gateways_[id].cursor.acceptsLimits = featureLevel >= feature::kWorkerLimits;
   if (interest_) {
     incomplete_.insert(id);
     interest_->addGateway(id, zone);
     takeInterestChanges();
   }
-  followIfLarge();
+  switchToPartialViews();
 }
 
 void ViewPublisher::unsubscribe(protocol::ConnectionId id) {
@@ -53,7 +53,7 @@
   }
   dueAt_.erase({found->second.dueAt, id});
   incomplete_.erase(id);
-  withNews_.erase(id);
+  withChanges_.erase(id);
   gateways_.erase(found);
   if (interest_) {
     interest_->removeGateway(id);
@@ -61,9 +61,10 @@
 }
 
 WorkerView ViewPublisher::Worker::viewFor(protocol::ConnectionId gateway) const {
-  WorkerView told = view;
-  told.record.leaving = told.record.leaving || (onlyFor && onlyFor->count(gateway) == 0);
-  return told;
+  WorkerView visible = view;
+  visible.record.leaving =
+      visible.record.leaving || (allowedGateways && allowedGateways->count(gateway) == 0);
+  return visible;
 }
 
 /// Chooses gateways by a hash of the worker's id, so that different workers get different ones.
@@ -84,12 +85,12 @@
 }
 
 void ViewPublisher::setWorker(const WorkerView& view, bool plain,
-                              std::optional<std::size_t> mostGateways) {
+                              std::optional<std::size_t> maxGateways) {
   const auto [found, added] = workers_.try_emplace(view.record.id);
   Worker& worker = found->second;
-  const bool limited = worker.onlyFor.has_value();
+  const bool limited = worker.allowedGateways.has_value();
   const bool changed = added || worker.removed || !(worker.view == view) || worker.plain != plain ||
-                       limited != mostGateways.has_value();
+                       limited != maxGateways.has_value();
   if (!changed) {
     return;
   }
@@ -97,17 +98,17 @@
   worker.view = view;
   worker.plain = plain;
   worker.removed = false;
-  if (!mostGateways) {
-    worker.onlyFor.reset();
+  if (!maxGateways) {
+    worker.allowedGateways.reset();
   } else if (!limited) {
-    worker.onlyFor = chooseGateways(view.record.id, *mostGateways);
+    worker.allowedGateways = chooseGateways(view.record.id, *maxGateways);
   }
   if (interest_) {
     noteWorkerChanged(view.record.id);
     interest_->setWorker(worker.viewFor({}), plain);
     takeInterestChanges();
   }
-  followIfLarge();
+  switchToPartialViews();
 }
 
 void ViewPublisher::removeWorker(const WorkerId& id) {
@@ -140,12 +141,12 @@
     return now >= completeUpdates_.next();
   }
   return gateway.revision < revision_ || gateway.documentVersion < documentVersion ||
-         countGrew(gateway) || now >= gateway.lastSent + interval_;
+         gatewayCountGrew(gateway) || now >= gateway.lastSent + interval_;
 }
 
 /// A gateway that does not know of many others uses too large a part of the shared budget. But not
 /// each new gateway is published at once, as that would take gateways squared updates.
-bool ViewPublisher::countGrew(const Gateway& gateway) const {
+bool ViewPublisher::gatewayCountGrew(const Gateway& gateway) const {
   return static_cast<double>(gateways_.size()) > kUrgentGrowth * gateway.gateways;
 }
 
@@ -223,8 +224,9 @@
     return;
   }
   for (const auto& [id, load] : loads_) {
-    const bool wanted = update.complete ? load.running > 0 : load.revision > gateway.loadRevision;
-    if (wanted) {
+    const bool isIncluded =
+        update.complete ? load.running > 0 : load.revision > gateway.loadRevision;
+    if (isIncluded) {
       update.loads.push_back({id, {}, load.running});
     }
   }
--- a/src/registry/view_publisher.h
+++ b/src/registry/view_publisher.h
@@ -31,7 +31,7 @@
   /// @name Most complete updates per time slice, and the time between slices: gateways that start
   /// together must not block the event loop. An update of 90 workers takes 40 KB, 0.4 ms of a core.
   /// @{
-  static constexpr std::size_t kMostCompleteUpdates = 8;
+  static constexpr std::size_t kMaxCompleteUpdates = 8;
   static constexpr base::Duration kCompleteSpacing = std::chrono::milliseconds(10);
   /// @}
   /// Number of gateway and worker pairs above which gateways follow only some workers: sending all
@@ -44,17 +44,17 @@
   void unsubscribe(protocol::ConnectionId gateway);
   std::size_t gatewayCount() const { return gateways_.size(); }
   /// @return true while each gateway is sent every worker.
-  bool tellsAll() const { return !interest_; }
+  bool sendsAllWorkers() const { return !interest_; }
   std::vector<protocol::ConnectionId> gateways() const;
-  /// Records that a model or adapter was requested from a gateway: see ViewInterest::asked.
-  void asked(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
-             base::TimePoint now);
+  /// Records that a model or adapter was requested from a gateway: see ViewInterest::recordRequest.
+  void recordRequest(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
+                     base::TimePoint now);
 
   /// @param plain true if the worker belongs to a plain service, all of whose workers are equal.
   /// @param mostGateways how many gateways may send requests to it; the others see it as leaving.
   /// While gateways follow only some workers, a limited worker gets requests from none.
   void setWorker(const WorkerView& view, bool plain = false,
-                 std::optional<std::size_t> mostGateways = std::nullopt);
+                 std::optional<std::size_t> maxGateways = std::nullopt);
   void removeWorker(const WorkerId& worker);
   /// @return the workers that were set and not removed.
   std::vector<WorkerId> workers() const;
@@ -110,12 +110,13 @@
     bool plain = false;
     std::uint64_t revision = 0;
     bool removed = false;
-    std::optional<std::set<protocol::ConnectionId>> onlyFor;  ///< Absent: all gateways may use it.
+    std::optional<std::set<protocol::ConnectionId>>
+        allowedGateways;  ///< Absent: all gateways may use it.
 
     WorkerView viewFor(protocol::ConnectionId gateway) const;
   };
 
-  bool countGrew(const Gateway& gateway) const;
+  bool gatewayCountGrew(const Gateway& gateway) const;
   void setLoads(const std::vector<WorkerLoad>& loads);
   void addLoads(Gateway& gateway, base::TimePoint now, ViewUpdate& update) const;
   base::Duration loadSpacing() const;
@@ -124,11 +125,11 @@
   void dropRemoved();
 
   // Used while gateways follow only some workers (view_publisher_interest.cpp).
-  void followIfLarge();
+  void switchToPartialViews();
   void takeInterestChanges();
   void noteWorkerChanged(const WorkerId& worker);
   void noteLoadChanged(const WorkerId& worker, std::uint32_t running);
-  void noteDocument(std::uint64_t version);
+  void scheduleDocumentUpdate(std::uint64_t version);
   void scheduleAt(protocol::ConnectionId id, Gateway& gateway, base::TimePoint at);
   std::vector<protocol::ConnectionId> dueGateways(base::TimePoint now,
                                                   std::uint64_t documentVersion);
@@ -147,9 +148,9 @@
   /// @{
   std::set<std::pair<base::TimePoint, protocol::ConnectionId>> dueAt_;
   std::set<protocol::ConnectionId> incomplete_;
-  std::set<protocol::ConnectionId> withNews_;
+  std::set<protocol::ConnectionId> withChanges_;
   /// @}
-  std::uint64_t toldVersion_ = 0;  ///< Document version in the last updates.
+  std::uint64_t publishedVersion_ = 0;  ///< Document version in the last updates.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/view_publisher_interest.cpp
+++ b/src/registry/view_publisher_interest.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 /// Most updates per event loop iteration: some ms of a small core.
-constexpr std::size_t kMostUpdatesInTurn = 64;
+constexpr std::size_t kMaxUpdatesPerIteration = 64;
 
 }  // namespace
 
 /// Switches to partial views once the fleet is large. Gateways were sent all workers so far, and go
 /// on following them.
-void ViewPublisher::followIfLarge() {
+void ViewPublisher::switchToPartialViews() {
   if (interest_ || gateways_.size() * workers_.size() <= kMostPairs) {
     return;
   }
@@ -39,7 +39,7 @@
         gateway.removed.insert(workerId);
         continue;
       }
-      interest_->followed(id, workerId);
+      interest_->markFollowed(id, workerId);
       gateway.loads.insert(workerId);
       if (worker.revision > gateway.revision) {
         gateway.changed.insert(workerId);
@@ -54,10 +54,10 @@
   takeInterestChanges();
 }
 
-void ViewPublisher::asked(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
-                          base::TimePoint now) {
+void ViewPublisher::recordRequest(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
+                                  base::TimePoint now) {
   if (interest_) {
-    interest_->asked(gateway, key, waiting, now);
+    interest_->recordRequest(gateway, key, waiting, now);
     takeInterestChanges();
   }
 }
@@ -77,7 +77,7 @@
       gateway.loads.erase(change.worker);
       gateway.removed.insert(change.worker);
     }
-    withNews_.insert(change.gateway);
+    withChanges_.insert(change.gateway);
   }
 }
 
@@ -86,7 +86,7 @@
     Gateway& gateway = gateways_.at(id);
     if (gateway.complete) {
       gateway.changed.insert(worker);
-      withNews_.insert(id);
+      withChanges_.insert(id);
     }
   }
 }
@@ -107,17 +107,17 @@
   gateway.dueAt = at;
   dueAt_.emplace(at, id);
   incomplete_.erase(id);
-  withNews_.erase(id);
+  withChanges_.erase(id);
 }
 
 /// Schedules an update for all gateways if the document version has changed.
-void ViewPublisher::noteDocument(std::uint64_t version) {
-  if (!interest_ || std::exchange(toldVersion_, version) == version) {
+void ViewPublisher::scheduleDocumentUpdate(std::uint64_t version) {
+  if (!interest_ || std::exchange(publishedVersion_, version) == version) {
     return;
   }
   for (const auto& [id, gateway] : gateways_) {
     if (gateway.complete) {
-      withNews_.insert(id);
+      withChanges_.insert(id);
     }
   }
 }
@@ -125,7 +125,8 @@
 bool ViewPublisher::followedDue(base::TimePoint now, std::uint64_t documentVersion) const {
   const bool intervalOver = !dueAt_.empty() && dueAt_.begin()->first <= now;
   const bool completeDue = !incomplete_.empty() && now >= completeUpdates_.next();
-  return intervalOver || completeDue || !withNews_.empty() || documentVersion != toldVersion_;
+  return intervalOver || completeDue || !withChanges_.empty() ||
+         documentVersion != publishedVersion_;
 }
 
 /// @return gateways to be sent an update now: first those that wait for their first view, then
@@ -141,17 +142,17 @@
     }
     return due;
   }
-  noteDocument(documentVersion);
+  scheduleDocumentUpdate(documentVersion);
   if (now >= completeUpdates_.next()) {
     due.assign(incomplete_.begin(), incomplete_.end());
-    due.resize(std::min(due.size(), kMostCompleteUpdates));
+    due.resize(std::min(due.size(), kMaxCompleteUpdates));
   }
-  const std::size_t most = due.size() + kMostUpdatesInTurn;
+  const std::size_t most = due.size() + kMaxUpdatesPerIteration;
   for (auto next = dueAt_.begin(); next != dueAt_.end() && next->first <= now && due.size() < most;
        ++next) {
     due.push_back(next->second);
   }
-  for (auto next = withNews_.begin(); next != withNews_.end() && due.size() < most; ++next) {
+  for (auto next = withChanges_.begin(); next != withChanges_.end() && due.size() < most; ++next) {
     if (gateways_.at(*next).dueAt > now) {
       due.push_back(*next);
     }
--- a/test/registry/view_codec_test.cpp
+++ b/test/registry/view_codec_test.cpp
@@ -54,7 +54,7 @@
     view.servers = {{"10.0.0.1", 7000}, {"10.0.0.2", 7000}};
     return view;
   }
-  std::string told(const ViewUpdate& view) {
+  std::string roundTrip(const ViewUpdate& view) {
     std::string bytes = encoder.encode(view, cursor);
     auto decoded = decoder.decode(bytes);
     CHECK_TRUE(decoded.has_value());
@@ -64,24 +64,24 @@
 };
 
 TEST(ViewCodecTest, aViewComesBackAsItWas) {
-  told(ViewUpdate{});
-  told(complete());
+  roundTrip(ViewUpdate{});
+  roundTrip(complete());
 }
 
 TEST(ViewCodecTest, aChangeComesBackWithTheRecordThatWasToldBefore) {
-  told(complete());
+  roundTrip(complete());
   ViewUpdate change;
   change.changed = {viewOf("w1", {"m2", "m3"})};
   change.changed[0].silent = true;
-  told(change);
+  roundTrip(change);
   change.changed[0].record.leaving = true;
   change.removed = {{"w2"}};
-  told(change);
+  roundTrip(change);
 }
 
 /// 245 workers have some 100 changes per second, each of which is sent to 300 gateways.
 TEST(ViewCodecTest, aChangeTakesFewBytes) {
-  told(complete());
+  roundTrip(complete());
   ViewUpdate change;
   change.term = 3;
   change.documentVersion = 65;
@@ -89,11 +89,11 @@
   change.changed = {viewOf("w1", {"m2"})};
   change.loads = {{{"w2"}, {}, 11}};
   constexpr std::size_t kMostBytes = 24;
-  CHECK_TRUE(told(change).size() <= kMostBytes);
+  CHECK_TRUE(roundTrip(change).size() <= kMostBytes);
 }
 
 TEST(ViewCodecTest, eachGatewayIsToldNamesOfItsOwn) {
-  told(complete());
+  roundTrip(complete());
   ViewCursor other;
   ViewDecoder otherDecoder;
   const ViewUpdate view = complete();
@@ -105,14 +105,14 @@
 TEST(ViewCodecTest, aLimitIsToldToGatewaysThatReadIt) {
   ViewUpdate view = complete();
   view.changed[0].limit = 0.25;
-  cursor.takesLimits = true;
-  told(view);
+  cursor.acceptsLimits = true;
+  roundTrip(view);
   ViewUpdate change;
   change.changed = {view.changed[0]};
   change.changed[0].limit = 1000;
-  told(change);
+  roundTrip(change);
   change.changed[0].limit.reset();
-  told(change);
+  roundTrip(change);
 }
 
 /// Builds without support for limits must get the same bytes as before.
@@ -128,20 +128,20 @@
 }
 
 TEST(ViewCodecTest, aCompleteViewStartsAnew) {
-  told(complete());
-  told(complete());
+  roundTrip(complete());
+  roundTrip(complete());
 }
 
 TEST(ViewCodecTest, namesAreNumberedAnewWhenThereAreTooMany) {
-  told(complete());
-  for (std::size_t number = 0; number < ViewEncoder::kMostNames; ++number) {
+  roundTrip(complete());
+  for (std::size_t number = 0; number < ViewEncoder::kMaxNames; ++number) {
     ViewUpdate change;
     change.removed = {{"gone-" + std::to_string(number)}};
     (void)decoder.decode(encoder.encode(change, cursor));
   }
   ViewUpdate change;
   change.changed = {viewOf("w1", {"m9"})};
-  told(change);
+  roundTrip(change);
 }
 
 TEST(ViewCodecTest, whatIsNoViewIsRefused) {
--- a/test/registry/view_interest_test.cpp
+++ b/test/registry/view_interest_test.cpp
@@ -55,7 +55,7 @@
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   CHECK_EQUAL(0, interest.followedBy(kGateway).size());
-  interest.asked(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, true, now);
   CHECK_EQUAL(ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
@@ -63,7 +63,7 @@
   addWorkers(3, "a", "a");
   addWorkers(100, "b", "b");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, true, now);
   CHECK_EQUAL(3, followedIn(kGateway, "a"));
   CHECK_EQUAL(1, followedIn(kGateway, "b"));
 }
@@ -73,7 +73,7 @@
   std::set<WorkerId> all;
   for (std::uint64_t gateway = 1; gateway <= 2 * ViewInterest::kGroups; ++gateway) {
     interest.addGateway({gateway}, {"a"});
-    interest.asked({gateway}, kModel, true, now);
+    interest.recordRequest({gateway}, kModel, true, now);
     const auto& followed = interest.followedBy({gateway});
     all.insert(followed.begin(), followed.end());
   }
@@ -84,28 +84,28 @@
 TEST(ViewInterestTest, whoseRequestsWaitIsToldOfMore) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, true, now);
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   CHECK_EQUAL(ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
-  interest.asked(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, true, now);
   CHECK_EQUAL(2 * ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
 TEST(ViewInterestTest, moreAreFollowedWhileTheyAreBusy) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   for (const WorkerId& id : interest.followedBy(kGateway)) {
     interest.setRunning(id, 2);
   }
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   CHECK_EQUAL(2 * ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
 TEST(ViewInterestTest, whoTurnsSilentOrLosesTheModelIsReplaced) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   const std::set<WorkerId> first = interest.followedBy(kGateway);
   WorkerView silent = worker(first.begin()->value, "a", {{"m", 1, {}}});
   silent.silent = true;
@@ -117,7 +117,7 @@
 TEST(ViewInterestTest, aWorkerThatEndsIsReplacedAndTold) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   (void)interest.takeChanges();
   const WorkerId ended = *interest.followedBy(kGateway).begin();
   interest.removeWorker(ended);
@@ -131,7 +131,7 @@
 TEST(ViewInterestTest, whoWaitsForAnAdapterIsToldOnceAWorkerHasIt) {
   addWorkers(10, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, {"svc", "m", "a1"}, true, now);
+  interest.recordRequest(kGateway, {"svc", "m", "a1"}, true, now);
   CHECK_EQUAL(0, interest.followedBy(kGateway).size());
   interest.setWorker(worker("a7", "a", {{"m", 1, {"a1"}}}), false);
   CHECK_EQUAL(1, interest.followedBy(kGateway).count({"a7"}));
@@ -151,7 +151,7 @@
   addWorkers(10, "a", "a");
   addWorkers(10, "b", "b");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   for (std::size_t index = 0; index < 10; ++index) {
     WorkerView leaving = worker(name("a", index), "a", {{"m", 1, {}}});
     leaving.record.leaving = true;
@@ -170,10 +170,10 @@
     }
   }
   for (std::size_t model = 0; model < kModels; ++model) {
-    interest.asked(kGateway, {"svc", name("m", model), ""}, false, now);
+    interest.recordRequest(kGateway, {"svc", name("m", model), ""}, false, now);
     now += 1s;
   }
-  CHECK_TRUE(interest.followedBy(kGateway).size() <= ViewInterest::kMostFollowed + 4);
+  CHECK_TRUE(interest.followedBy(kGateway).size() <= ViewInterest::kMaxFollowed + 4);
   CHECK_EQUAL(1, interest.followedBy(kGateway).count({"w799"}));
 }
 
@@ -196,8 +196,8 @@
     return publisher.takeUpdates(now, 1, 1, loads, {});
   }
   /// Requests the model at a gateway. @return one of the workers that the gateway is sent.
-  WorkerId askFor(std::uint64_t gateway, base::TimePoint now) {
-    publisher.asked({gateway}, kModel, true, now);
+  WorkerId requestAt(std::uint64_t gateway, base::TimePoint now) {
+    publisher.recordRequest({gateway}, kModel, true, now);
     for (const auto& sent : updates(now)) {
       if (sent.gateway.value == gateway) {
         return sent.update.changed.front().record.id;
@@ -206,7 +206,7 @@
     return {};
   }
   /// Sends all gateways their first view. @return the time when nothing else is due.
-  base::TimePoint tellAll() {
+  base::TimePoint sendAll() {
     base::TimePoint now = start;
     for (std::size_t round = 0; round < kGateways; ++round) {
       (void)updates(now);
@@ -218,7 +218,7 @@
 };
 
 TEST(LargeViewPublisherTest, aFirstViewIsSmall) {
-  CHECK_FALSE(publisher.tellsAll());
+  CHECK_FALSE(publisher.sendsAllWorkers());
   const auto sent = updates(start);
   CHECK_EQUAL(8, sent.size());
   CHECK_TRUE(sent.front().update.complete);
@@ -226,8 +226,8 @@
 }
 
 TEST(LargeViewPublisherTest, whoAsksIsToldAtOnceAndNobodyElse) {
-  const base::TimePoint now = tellAll();
-  publisher.asked({5}, kModel, true, now);
+  const base::TimePoint now = sendAll();
+  publisher.recordRequest({5}, kModel, true, now);
   const auto sent = updates(now + 1ms);
   CHECK_EQUAL(1, sent.size());
   CHECK_EQUAL(5, sent.front().gateway.value);
@@ -235,8 +235,8 @@
 }
 
 TEST(LargeViewPublisherTest, aChangeIsToldToThoseWhoFollowTheWorker) {
-  const base::TimePoint now = tellAll();
-  const WorkerId followed = askFor(5, now);
+  const base::TimePoint now = sendAll();
+  const WorkerId followed = requestAt(5, now);
   WorkerView changed = worker(followed.value, "a", {{"m", 1, {}}});
   changed.silent = true;
   publisher.setWorker(changed);
@@ -247,8 +247,8 @@
 }
 
 TEST(LargeViewPublisherTest, aWorkerThatEndedIsToldToThoseWhoFollowedIt) {
-  const base::TimePoint now = tellAll();
-  const WorkerId followed = askFor(5, now);
+  const base::TimePoint now = sendAll();
+  const WorkerId followed = requestAt(5, now);
   publisher.removeWorker(followed);
   const auto sent = updates(now + 1ms);
   CHECK_EQUAL(1, sent.size());
@@ -256,8 +256,8 @@
 }
 
 TEST(LargeViewPublisherTest, loadsOfFollowedWorkersGoWithTheNextUpdate) {
-  const base::TimePoint now = tellAll();
-  const WorkerId followed = askFor(5, now);
+  const base::TimePoint now = sendAll();
+  const WorkerId followed = requestAt(5, now);
   loads = {{followed, "", 3}, {{"w-unknown"}, "", 1}};
   (void)updates(now + 1ms);
   base::TimePoint later = now + 2ms;
@@ -274,18 +274,18 @@
 }
 
 TEST(LargeViewPublisherTest, eachGatewayHearsSomethingEachInterval) {
-  const base::TimePoint now = tellAll();
-  std::set<std::uint64_t> heard;
+  const base::TimePoint now = sendAll();
+  std::set<std::uint64_t> contacted;
   for (base::TimePoint later = now; later <= now + 250ms; later += 5ms) {
     for (const auto& sent : updates(later)) {
-      heard.insert(sent.gateway.value);
+      contacted.insert(sent.gateway.value);
     }
   }
-  CHECK_EQUAL(kGateways, heard.size());
+  CHECK_EQUAL(kGateways, contacted.size());
 }
 
 TEST(LargeViewPublisherTest, aNewDocumentIsToldToAll) {
-  const base::TimePoint now = tellAll();
+  const base::TimePoint now = sendAll();
   std::set<std::uint64_t> told;
   for (base::TimePoint later = now; later < now + 10ms; later += 1ms) {
     for (const auto& sent : publisher.takeUpdates(later, 1, 2, loads, {})) {
@@ -298,13 +298,13 @@
 
 /// Otherwise each document would delay consensus in proportion to the number of gateways.
 TEST(LargeViewPublisherTest, oneTurnTellsABoundedNumber) {
-  const base::TimePoint now = tellAll();
+  const base::TimePoint now = sendAll();
   CHECK_TRUE(publisher.takeUpdates(now, 1, 2, loads, {}).size() <= 64);
   CHECK_TRUE(publisher.due(now, 2));
 }
 
 TEST(LargeViewPublisherTest, nothingIsDueOnceAllIsTold) {
-  const base::TimePoint now = tellAll();
+  const base::TimePoint now = sendAll();
   CHECK_FALSE(publisher.due(now, 1));
 }
 
@@ -317,7 +317,7 @@
   for (std::size_t index = 0; index <= ViewPublisher::kMostPairs; ++index) {
     growing.setWorker(worker(name("w", index), "a", {}));
   }
-  CHECK_FALSE(growing.tellsAll());
+  CHECK_FALSE(growing.sendsAllWorkers());
   (void)growing.takeUpdates(start + 1ms, 1, 1, loads, {});
   growing.removeWorker({"first"});
   const auto sent = growing.takeUpdates(start + 2ms, 1, 1, loads, {});
