--- a/test/registry/cell_state_test.cpp
+++ b/test/registry/cell_state_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(CellStateTest) { CellState state; };
 
-TEST(CellStateTest, theHighestVersionHolds) {
+TEST(CellStateTest, onlyAHigherVersionReplacesTheDocument) {
   state.apply(StoreDocument{5, "five"});
   state.apply(StoreDocument{4, "four"});
   state.apply(StoreDocument{5, "other five"});
@@ -47,7 +47,7 @@
   CHECK(state.findWorker({"new"}) != nullptr);
 }
 
-TEST(CellStateTest, aSnapshotHoldsAll) {
+TEST(CellStateTest, aSnapshotRestoresTheWholeState) {
   state.apply(StoreDocument{5, "five"});
   state.apply(StoreWorker{worker("w", 1)});
   state.apply(ForgetWorker{{"gone"}});
@@ -60,7 +60,7 @@
   CHECK_TRUE(restored.orderHolder() == base::ServerId{7});
 }
 
-TEST(CellStateTest, evidenceAgainstRequestsIsInTheSnapshot) {
+TEST(CellStateTest, aSnapshotRestoresEvidenceAgainstRequests) {
   state.apply(StoreDocument{5, "five"});
   state.apply(StoreCrash{{"w1"}, {}, {RequestDigest{}}});
   state.apply(StoreCrash{{"w2"}, {}, {RequestDigest{}}});
@@ -90,7 +90,7 @@
   CHECK_TRUE(decodeCommand(std::string_view("\xff\xff\xff", 3)).has_error());
 }
 
-TEST(CellStateTest, aZoneIsEvacuatedAndComesBack) {
+TEST(CellStateTest, aZoneIsEvacuatedAndReturnsToService) {
   state.apply(StoreZoneEvacuation{{"zone"}, true, 0});
   CHECK_TRUE(state.evacuated({"zone"}));
   CHECK_FALSE(state.evacuated({"other"}));
--- a/test/registry/crash_monitor_test.cpp
+++ b/test/registry/crash_monitor_test.cpp
@@ -100,7 +100,7 @@
   }
 };
 
-TEST(CrashMonitorTest, aWorkerThatIsHeardAfterTheCutHasNotEnded) {
+TEST(CrashMonitorTest, aWorkerWithContactAfterTheCutHasNotEnded) {
   cut("w1", {kRequest});
   run(500ms);
   heartbeat("w1");
@@ -108,7 +108,7 @@
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, aHeartbeatThatWasUnderWayAtTheCutProvesNothing) {
+TEST(CrashMonitorTest, aHeartbeatInFlightAtTheCutDoesNotShowThatTheWorkerIsAlive) {
   cut("w1", {kRequest});
   now += 20ms;
   heartbeat("w1");
@@ -125,21 +125,21 @@
   CHECK_EQUAL(1, crashesOf(kOther));
 }
 
-TEST(CrashMonitorTest, aWorkerThatAnotherIncarnationReplacesHasEndedAtOnce) {
+TEST(CrashMonitorTest, aWorkerReplacedByAnotherIncarnationHasEnded) {
   cut("w1", {kRequest});
   add("w9", '1');
   run(2 * kStep);
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, aLeavingWorkerEndsByItself) {
+TEST(CrashMonitorTest, theEndOfALeavingWorkerIsNoCrash) {
   add("w1", '1', true);
   cut("w1", {kRequest});
   run(5s);
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, whatIsTakenForACrashIsTakenBackIfTheWorkerIsHeard) {
+TEST(CrashMonitorTest, aCrashIsRetractedIfTheWorkerMakesContact) {
   crash("w1", {kRequest});
   CHECK_EQUAL(1, crashesOf(kRequest));
   heartbeat("w1");
@@ -147,7 +147,7 @@
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, standingsFollowTheCrashes) {
+TEST(CrashMonitorTest, standingsFollowTheNumberOfCrashes) {
   crash("w1", {kRequest, kOther});
   checkStanding(kRequest, std::nullopt);
   crash("w2", {kRequest});
@@ -207,7 +207,7 @@
   checkStanding(kRequest, RequestStanding::quarantined);
 }
 
-TEST(CrashMonitorTest, aHeldRequestGoesOnIfTheWorkerHadNotEnded) {
+TEST(CrashMonitorTest, aHeldRequestIsReleasedIfTheWorkerHadNotEnded) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   heartbeat("w3");
@@ -219,7 +219,7 @@
   checkStanding(kRequest, RequestStanding::suspected);
 }
 
-TEST(CrashMonitorTest, aNewLeaderKnowsWhatTheLogHas) {
+TEST(CrashMonitorTest, aNewLeaderContinuesFromTheEvidenceInTheLog) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   monitor = std::make_unique<CrashMonitor>(state, log);
@@ -240,7 +240,7 @@
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, evidenceThatTheLogLostIsProposedAgain) {
+TEST(CrashMonitorTest, lostEvidenceIsProposedAgain) {
   logTakesCommands = false;
   crash("w1", {kRequest});
   logTakesCommands = true;
@@ -248,7 +248,7 @@
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, aRequestThatWasAnsweredIsNoSuspectAnyMore) {
+TEST(CrashMonitorTest, anAnsweredRequestIsNoLongerASuspect) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   CutReport report;
@@ -259,7 +259,7 @@
   checkStanding(kRequest, std::nullopt);
 }
 
-TEST(CrashMonitorTest, aQuarantineEndsOnceTheEvidenceIsOldAndIsBackWithOneCrash) {
+TEST(CrashMonitorTest, aQuarantineExpiresAndReturnsAfterOneMoreCrash) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   crash("w3", {kRequest});
@@ -273,7 +273,7 @@
   checkStanding(kRequest, RequestStanding::quarantined);
 }
 
-TEST(CrashMonitorTest, withoutCutsThereIsNothingToTell) {
+TEST(CrashMonitorTest, withoutCutsTheListOfSuspectsIsEmpty) {
   run(5s);
   CHECK_FALSE(monitor->takeChanged());
   CHECK(monitor->list(now).requests.empty());
--- a/test/registry/document_cache_test.cpp
+++ b/test/registry/document_cache_test.cpp
@@ -31,7 +31,7 @@
   DocumentCache cache{reader};
 };
 
-TEST(DocumentCacheTest, aTextIsReadOnce) {
+TEST(DocumentCacheTest, aTextIsParsedOnce) {
   const auto first = cache.read("abc").value();
   CHECK_EQUAL(3, first->version);
   POINTERS_EQUAL(first.get(), cache.read("abc").value().get());
@@ -44,7 +44,7 @@
   CHECK_EQUAL(2, reader.reads);
 }
 
-TEST(DocumentCacheTest, theOneThatWasUsedLeastLatelyLeaves) {
+TEST(DocumentCacheTest, theLeastRecentlyUsedDocumentIsEvicted) {
   for (const char* text : {"a", "bb", "ccc", "dddd", "a", "eeeee"}) {
     (void)cache.read(text);
   }
--- a/test/registry/document_sender_test.cpp
+++ b/test/registry/document_sender_test.cpp
@@ -51,7 +51,7 @@
   }
 };
 
-TEST(DocumentSenderTest, aGatewayThatHoldsNothingIsSentTheWhole) {
+TEST(DocumentSenderTest, aGatewayWithoutADocumentIsSentTheWholeDocument) {
   const auto large = document(4, 4000);
   sender.setDocument(large);
   sender.subscribe({1}, 0, {});
@@ -68,7 +68,7 @@
   CHECK_TRUE(sender.nextParts() == base::kNever);
 }
 
-TEST(DocumentSenderTest, aGatewayThatHoldsAFormerDocumentIsSentTheDelta) {
+TEST(DocumentSenderTest, aGatewayWithAPreviousDocumentIsSentTheDelta) {
   sender.setDocument(document(4, 4000));
   sender.setDocument(document(5, 4001));
   sender.subscribe({1}, 4, {});
@@ -78,7 +78,7 @@
   CHECK_EQUAL(1, delta.value().changedRoutes.size());
 }
 
-TEST(DocumentSenderTest, onlyAWindowIsUnderWayToAGateway) {
+TEST(DocumentSenderTest, atMostOneWindowIsInFlightToAGateway) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
   const auto parts = sender.takeParts(start);
@@ -89,7 +89,7 @@
 }
 
 /// The work of one event loop iteration must not grow with the number of gateways.
-TEST(DocumentSenderTest, aFewPartsGoAtATimeHoweverManyGatewaysWait) {
+TEST(DocumentSenderTest, partsPerTimeSliceAreBoundedForAnyNumberOfGateways) {
   sender.setDocument(document(4, 4000));
   for (std::uint64_t gateway = 1; gateway <= 400; ++gateway) {
     sender.subscribe({gateway}, 0, {});
@@ -100,7 +100,7 @@
   CHECK_EQUAL(8, sender.takeParts(start + 10ms).size());
 }
 
-TEST(DocumentSenderTest, aTransferGoesOnWhereAnotherServerLeftIt) {
+TEST(DocumentSenderTest, aTransferResumesWhereAnotherServerStopped) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
   const DocumentPart first = sender.takeParts(start).at(0).part;
@@ -110,7 +110,7 @@
   CHECK_EQUAL(first.bytes.size(), other.takeParts(start).at(0).part.offset);
 }
 
-TEST(DocumentSenderTest, aCursorOfAnotherContentIsNotGoneOnWith) {
+TEST(DocumentSenderTest, aCursorOfDifferentContentIsNotResumed) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {4, 0, 12345, 32768});
   CHECK_EQUAL(0, sender.takeParts(start).at(0).part.offset);
@@ -128,7 +128,7 @@
   CHECK_FALSE(sender.takeDelivered());
 }
 
-TEST(DocumentSenderTest, aGatewayThatSubscribesAgainBeginsAnew) {
+TEST(DocumentSenderTest, aTransferRestartsWhenAGatewaySubscribesAgain) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
   (void)sender.takeParts(start);
@@ -138,7 +138,7 @@
 }
 
 /// A delta takes some hundred bytes, so that a large fleet must receive it within a second.
-TEST(DocumentSenderTest, manySmallDeltasGoAtATime) {
+TEST(DocumentSenderTest, manySmallDeltasAreSentPerTimeSlice) {
   sender.setDocument(document(4, 10));
   constexpr std::uint64_t kGateways = 1000;
   for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
--- a/test/registry/heartbeat_relay_test.cpp
+++ b/test/registry/heartbeat_relay_test.cpp
@@ -27,7 +27,7 @@
   void setup() override { state.apply(StoreWorker{beat("w", 1).worker}); }
 };
 
-TEST(HeartbeatRelayTest, whatChangesTheRecordIsLeftToTheLeader) {
+TEST(HeartbeatRelayTest, aHeartbeatThatChangesTheRecordIsLeftToTheLeader) {
   CHECK_FALSE(relay.take(beat("unknown", 1), state));
   Heartbeat leaving = beat("w", 2);
   leaving.worker.leaving = true;
@@ -38,7 +38,7 @@
   CHECK_TRUE(relay.takeBatch(now) == std::nullopt);
 }
 
-TEST(HeartbeatRelayTest, theFirstIsToldInFullAndTheSameAgainInShort) {
+TEST(HeartbeatRelayTest, anUnchangedHeartbeatIsReportedAsContactOnly) {
   CHECK_TRUE(relay.take(beat("w", 1), state));
   CHECK_EQUAL(1, batch().changed.size());
   CHECK_TRUE(relay.take(beat("w", 2), state));
@@ -50,7 +50,7 @@
   CHECK_EQUAL(2, again.contacts.front().sequence);
 }
 
-TEST(HeartbeatRelayTest, anotherModelIsToldSoon) {
+TEST(HeartbeatRelayTest, aChangedModelIsReportedAfterTheChangeSpacing) {
   relay.take(beat("w", 1), state);
   (void)batch();
   now += HeartbeatRelay::kChangeSpacing;
@@ -58,7 +58,7 @@
   CHECK_EQUAL(1, batch().changed.size());
 }
 
-TEST(HeartbeatRelayTest, anEarlierOneThatComesLateSaysNothing) {
+TEST(HeartbeatRelayTest, aLateHeartbeatWithALowerSequenceIsIgnored) {
   relay.take(beat("w", 5), state);
   (void)batch();
   CHECK_TRUE(relay.take(beat("w", 4, "other"), state));
@@ -66,7 +66,7 @@
   CHECK_TRUE(batch().changed.empty());
 }
 
-TEST(HeartbeatRelayTest, anotherLeaderIsToldInFull) {
+TEST(HeartbeatRelayTest, aNewLeaderIsSentFullHeartbeats) {
   relay.take(beat("w", 1), state);
   (void)batch();
   relay.leaderChanged();
@@ -75,7 +75,7 @@
   CHECK_EQUAL(1, batch().changed.size());
 }
 
-TEST(HeartbeatRelayTest, whatTheLeaderWantsIsToldInFull) {
+TEST(HeartbeatRelayTest, requestedWorkersAreReportedInFull) {
   relay.take(beat("w", 1), state);
   (void)batch();
   relay.requestFull({{{"w"}, {"gone"}}});
@@ -83,7 +83,7 @@
   CHECK_EQUAL(1, batch().changed.size());
 }
 
-TEST(HeartbeatRelayTest, aForgottenWorkerIsNotToldOf) {
+TEST(HeartbeatRelayTest, aForgottenWorkerIsNotReported) {
   relay.take(beat("w", 1), state);
   state.apply(ForgetWorker{{"w"}});
   CHECK_FALSE(relay.take(beat("w", 2), state));
@@ -92,7 +92,7 @@
 }
 
 /// After a change of leader all workers of a server are reported in full.
-TEST(HeartbeatRelayTest, manyAreToldInSeveralBatches) {
+TEST(HeartbeatRelayTest, manyFullHeartbeatsAreSentInSeveralBatches) {
   constexpr std::size_t kWorkers = 150;
   for (std::size_t index = 0; index < kWorkers; ++index) {
     Heartbeat one = beat(("w" + std::to_string(index)).c_str(), 1);
@@ -148,7 +148,7 @@
   }
 };
 
-TEST(HeartbeatRelayClusterTest, aServerThatDoesNotLeadAnswersAtOnceAndKeepsTheWorker) {
+TEST(HeartbeatRelayClusterTest, aFollowerAnswersAtOnceAndKeepsTheWorker) {
   const base::TimePoint before = cluster.now();
   const ControlAnswer answer = beat(other);
   CHECK_TRUE(answer.status == ControlStatus::done);
@@ -156,7 +156,7 @@
   CHECK_EQUAL(other, answer.leader->port);
 }
 
-TEST(HeartbeatRelayClusterTest, theLeaderKnowsThatTheWorkerIsAlive) {
+TEST(HeartbeatRelayClusterTest, relayedHeartbeatsShowTheLeaderThatTheWorkerIsAlive) {
   for (int count = 0; count < 10; ++count) {
     cluster.run(1s);
     CHECK_TRUE(beat(other).status == ControlStatus::done);
--- a/test/registry/leader_duties_test.cpp
+++ b/test/registry/leader_duties_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP_BASE(LeaderDutiesTest, LeaderDutiesKit){};
 
-TEST(LeaderDutiesTest, whereWorkersCheckFencesATurnBeginsOnceReportsCanTellOfTheFormerOrders) {
+TEST(LeaderDutiesTest, withFencingATakeoverWaitsUntilReportsCoverPreviousOrders) {
   lead();
   run(400ms);
   CHECK_TRUE(state.orderHolder() == kFormer);
@@ -16,7 +16,7 @@
   CHECK_TRUE(state.orderHolder() == kSelf);
 }
 
-TEST(LeaderDutiesTest, whereTheyDoNotAWorkerThatTheFormerHolderOrderedWaitsForItsLease) {
+TEST(LeaderDutiesTest, withoutFencingAWorkerWaitsForTheLeaseOfThePreviousHolder) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
@@ -29,7 +29,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, aWorkerThatNobodyOrderedLatelyIsOrderedAtOnce) {
+TEST(LeaderDutiesTest, aWorkerWithoutRecentOrdersIsOrderedAtOnce) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
@@ -43,7 +43,7 @@
   STRCMP_EQUAL("w2", ordered()[0].c_str());
 }
 
-TEST(LeaderDutiesTest, ordersThatThisServerDidNotSeeCountAsGivenWhenItStarted) {
+TEST(LeaderDutiesTest, ordersFromBeforeTheServerStartedCountAsSentAtItsStart) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
@@ -56,7 +56,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, whereFencesAreNotCheckedAnOrderIsInTheLogBeforeItIsSent) {
+TEST(LeaderDutiesTest, withoutFencingAnOrderIsInTheLogBeforeItIsSent) {
   options.ordersFenced = false;
   recordsOrders = false;
   lead();
@@ -72,7 +72,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, anOrderThatIsRecordedAfterTheLeaseOfLeadershipIsNotSent) {
+TEST(LeaderDutiesTest, anOrderRecordedAfterTheLeaderLeaseIsNotSent) {
   options.ordersFenced = false;
   leaseValid = false;
   lead();
@@ -81,7 +81,7 @@
   CHECK_EQUAL(0, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, aTurnThatFollowsAnotherChangeSoonWaitsForTheLease) {
+TEST(LeaderDutiesTest, aTakeoverSoonAfterAnotherOneWaitsForTheLease) {
   lead(now - 1s);
   run(kLease);
   CHECK_TRUE(state.orderHolder() == kFormer);
@@ -89,13 +89,13 @@
   CHECK_TRUE(state.orderHolder() == kSelf);
 }
 
-TEST(LeaderDutiesTest, aChangeThatIsLongerAgoThanTheLeaseDoesNotHoldATurnUp) {
+TEST(LeaderDutiesTest, aTakeoverOlderThanTheLeaseDoesNotDelayTheNextOne) {
   lead(now - 10s);
   run(700ms);
   CHECK_TRUE(state.orderHolder() == kSelf);
 }
 
-TEST(LeaderDutiesTest, allWorkersAreAskedForReportsBeforeAnyIsOrdered) {
+TEST(LeaderDutiesTest, reportsOfAllWorkersAreRequestedBeforeAnyIsOrdered) {
   lead();
   demandModel("a");
   run(800ms);
@@ -103,7 +103,7 @@
   CHECK_EQUAL(0, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, askingForReportsTakesNothingFromTheStoreRate) {
+TEST(LeaderDutiesTest, requestsForReportsDoNotUseTheStoreRate) {
   lead();
   demandModel("a");
   run(800ms);
@@ -129,7 +129,7 @@
 }
 
 /// Guards against losing the store's rate during the time in which no server may send orders.
-TEST(LeaderDutiesTest, theTimeWithoutOrdersBeforeATurnCountsForTheStoreRate) {
+TEST(LeaderDutiesTest, theTimeBeforeATakeoverCountsForTheStoreRate) {
   lead(now - 1s);
   run(kLease);
   CHECK_TRUE(state.orderHolder() == kFormer);
@@ -138,7 +138,7 @@
   CHECK_EQUAL(2, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, onceFormerOrdersAreOutOfDateAllWorkersAreRecordedAsItsOwn) {
+TEST(LeaderDutiesTest, allWorkersAreRecordedAsOrderedByTheLeaderOncePreviousOrdersExpire) {
   options.ordersFenced = false;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
   lead();
@@ -149,7 +149,7 @@
   CHECK_TRUE(state.lastOrderedBy({"w2"}) == kSelf);
 }
 
-TEST(LeaderDutiesTest, aServerThatLeadsAgainNeedNotWaitForItsOwnOrders) {
+TEST(LeaderDutiesTest, aServerThatLeadsAgainDoesNotWaitForItsOwnOrders) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kSelf, 1, 1, {{"w1"}, {"w2"}}});
@@ -174,7 +174,7 @@
 }  // namespace
 
 /// The failing worker's heartbeats report that it is healthy and holds the model.
-TEST(LeaderDutiesTest, aModelThatOnlyAFailingWorkerHoldsIsLoadedElsewhereOnceItIsWaitedFor) {
+TEST(LeaderDutiesTest, aModelHeldOnlyByAFailingWorkerIsLoadedElsewhereOnceRequestsWait) {
   lead();
   hold("w1", "a");
   runAnswering(1s);
@@ -187,7 +187,7 @@
   STRCMP_EQUAL("w2", ordered()[0].c_str());
 }
 
-TEST(LeaderDutiesTest, anAdapterThatOnlyAFailingWorkerHoldsIsLoadedElsewhere) {
+TEST(LeaderDutiesTest, anAdapterHeldOnlyByAFailingWorkerIsLoadedElsewhere) {
   lead();
   hold("w1", "a", {"a1"});
   hold("w2", "a");
@@ -237,7 +237,7 @@
   CHECK_TRUE(count<control::SendToConnection>() >= 2);
 }
 
-TEST(LeaderDutiesTest, aGatewayIsToldTheViewBeforeTheDocument) {
+TEST(LeaderDutiesTest, aGatewayIsSentTheViewBeforeTheDocument) {
   lead();
   duties->subscribe(kGateway, {});
   duties->run(now, true, {});
@@ -292,7 +292,7 @@
   CHECK_FALSE(duties->heartbeat(former, now + 200ms));
 }
 
-TEST(LeaderDutiesTest, aNewIncarnationReplacesOneThatIsSilentAtOnce) {
+TEST(LeaderDutiesTest, aNewIncarnationReplacesAnUnresponsiveOneAtOnce) {
   lead();
   Heartbeat next;
   next.worker = *state.findWorker({"w1"});
@@ -301,7 +301,7 @@
   CHECK_TRUE(duties->heartbeat(next, now + 2 * options.heartbeatInterval));
 }
 
-TEST(LeaderDutiesTest, aNewIncarnationThatCallsAgainReplacesOneThatWasHeardLately) {
+TEST(LeaderDutiesTest, aNewIncarnationReplacesALiveOneWithItsSecondHeartbeat) {
   lead();
   Heartbeat next;
   next.worker = *state.findWorker({"w1"});
--- a/test/registry/leader_faults_test.cpp
+++ b/test/registry/leader_faults_test.cpp
@@ -23,7 +23,7 @@
 }
 ;
 
-TEST(SuspendedLeaderTest, workersThatCouldNotBeHeardAreNotSilent) {
+TEST(SuspendedLeaderTest, workersAreNotUnresponsiveRightAfterTheSuspension) {
   sleep(5s);
   run(1s);
   CHECK_FALSE(toldSilent());
@@ -31,13 +31,13 @@
   CHECK_TRUE(toldSilent());
 }
 
-TEST(SuspendedLeaderTest, workersThatCouldNotBeHeardAreNotForgotten) {
+TEST(SuspendedLeaderTest, workersAreNotForgottenRightAfterTheSuspension) {
   sleep(60s);
   run(1s);
   CHECK(state.findWorker({"w1"}) != nullptr);
 }
 
-TEST(SuspendedLeaderTest, aCutBeforeTheSuspensionIsNoCrashUntilTheWorkerCouldBeHeard) {
+TEST(SuspendedLeaderTest, aCutBeforeTheSuspensionIsNoCrashUntilContactWasPossible) {
   CutReport report;
   report.cuts.push_back({RequestDigest{}, {"w1"}, false, 0s});
   duties->cutsReported(report, now);
@@ -49,7 +49,7 @@
   CHECK_TRUE(state.requestCrashes().empty());
 }
 
-TEST(SuspendedLeaderTest, withoutTheLeaseItTellsAndOrdersNothing) {
+TEST(SuspendedLeaderTest, withoutAValidLeaseNothingIsSentOrOrdered) {
   duties->subscribe(kGateway, {});
   demandModel("b");
   sleep(5s);
@@ -65,7 +65,7 @@
 TEST_GROUP_BASE(EndingLoadTest, LeaderDutiesKit){};
 
 /// The model crashes each worker that loads it, and is requested all the time.
-TEST(EndingLoadTest, aModelWhoseLoadsEndTheirWorkersIsLoadedEverMoreSeldom) {
+TEST(EndingLoadTest, loadsOfAModelThatCrashesItsWorkersBackOff) {
   lead();
   hold("w1", "b");
   hold("w2", "b");
--- a/test/registry/membership_policy_test.cpp
+++ b/test/registry/membership_policy_test.cpp
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(MembershipPolicyTest, aWholeCellStaysAsItIs) {
+TEST(MembershipPolicyTest, aCompleteCellIsNotChanged) {
   const Membership cell = voters({1, 2, 3, 4, 5});
   recordContacts({2, 3, 4, 5}, start + 10s);
   CHECK_FALSE(policy.nextChange(cell, {1}, start + 10s).has_value());
@@ -65,7 +65,7 @@
   CHECK_EQUAL(4, voterCount(cell));
 }
 
-TEST(MembershipPolicyTest, aSilentVoterStaysWhileNobodyCanReplaceIt) {
+TEST(MembershipPolicyTest, anUnresponsiveVoterStaysWithoutAReplacement) {
   const Membership cell = voters({1, 2, 3, 4, 5});
   recordContacts({2, 3, 4}, start + 60s);
   CHECK_FALSE(policy.nextChange(cell, {1}, start + 60s).has_value());
@@ -96,13 +96,13 @@
   CHECK_EQUAL(4, fewest);
 }
 
-TEST(MembershipPolicyTest, aRequestLapses) {
+TEST(MembershipPolicyTest, aJoinRequestExpires) {
   const Membership cell = voters({1, 2, 3});
   policy.addJoinRequest(member(4, MemberRole::voter, 4), cell, start);
   CHECK_FALSE(policy.nextChange(cell, {1}, start + 10s).has_value());
 }
 
-TEST(MembershipPolicyTest, aMajorityMustBeMoreThanTheLosses) {
+TEST(MembershipPolicyTest, aMajorityMustExceedTheTolerableLosses) {
   CHECK_FALSE(majorityExceedsLosses(voters({1, 2, 3}), 2));
   CHECK_TRUE(majorityExceedsLosses(voters({1, 2, 3, 4}), 2));
   CHECK_TRUE(majorityExceedsLosses(voters({1, 2, 3}), 1));
--- a/test/registry/recorded_messages_test.cpp
+++ b/test/registry/recorded_messages_test.cpp
@@ -87,13 +87,13 @@
 }
 ;
 
-TEST(RecordedMessagesTest, whatEarlierBuildsSendIsRead) {
+TEST(RecordedMessagesTest, messagesOfEarlierBuildsAreDecoded) {
   for (const char* recorded : {kQuotaRequest, kQuotaGrant, kViewUpdate, kPackedView}) {
     checkRead(recorded);
   }
 }
 
-TEST(RecordedMessagesTest, whatEarlierBuildsReadIsWrittenAsTheyDo) {
+TEST(RecordedMessagesTest, messagesForEarlierBuildsAreEncodedAsBefore) {
   STRCMP_EQUAL(kQuotaRequest, encoded(QuotaRequest{5, {{"t", 1, 2, 3, 4, 5}}}).c_str());
   STRCMP_EQUAL(kQuotaGrant,
                encoded(QuotaGrant{5, {{"t", 1.5, std::chrono::milliseconds(250)}}}).c_str());
@@ -101,7 +101,7 @@
 }
 
 /// The limit of a worker is not sent to a gateway that has not announced support for it.
-TEST(RecordedMessagesTest, aViewForAnEarlierBuildIsAsItWas) {
+TEST(RecordedMessagesTest, aViewForAnEarlierBuildIsEncodedAsBefore) {
   ViewUpdate update = view();
   update.changed[0].limit = 2;
   ViewEncoder encoder;
--- a/test/registry/registry_cluster_test.cpp
+++ b/test/registry/registry_cluster_test.cpp
@@ -42,7 +42,7 @@
   }
 };
 
-TEST(RegistryClusterTest, nothingIsAcknowledgedBeforeItOutlivesTheLosses) {
+TEST(RegistryClusterTest, nothingIsAcknowledgedBeforeItToleratesTheLosses) {
   for (const std::uint16_t port : kSeeds) {
     cluster.start(port, port, kSeeds, kSeeds);
   }
@@ -59,7 +59,7 @@
   CHECK_EQUAL(5, cluster.voterCount(*cluster.leader()));
 }
 
-TEST(RegistryClusterTest, seedsMayBeLate) {
+TEST(RegistryClusterTest, theCellFormsWhenSeedsStartLate) {
   cluster.start(4, 4, {}, kSeeds);
   cluster.start(5, 5, {}, kSeeds);
   cluster.start(1, 1, kSeeds, kSeeds);
@@ -171,7 +171,7 @@
 
 /// Guards against stale views: the state that a follower has applied may be older than what was
 /// acknowledged.
-TEST(RegistryClusterTest, onlyTheLeaderTellsGatewaysOfADocument) {
+TEST(RegistryClusterTest, onlyTheLeaderSendsGatewaysViewsAndDocuments) {
   startFive();
   declare(1, "1 one");
   cluster.run(2s);
@@ -223,7 +223,7 @@
 }
 ;
 
-TEST(QuarantineClusterTest, aQuarantineOutlivesItsLeader) {
+TEST(QuarantineClusterTest, aQuarantineSurvivesAChangeOfLeader) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
@@ -234,7 +234,7 @@
   checkToldFirst();
 }
 
-TEST(QuarantineClusterTest, aQuarantineOutlivesALossOfPowerOfAll) {
+TEST(QuarantineClusterTest, aQuarantineSurvivesARestartOfAllServers) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
@@ -249,7 +249,7 @@
   checkToldFirst();
 }
 
-TEST(QuarantineClusterTest, withoutSuspectsNothingIsToldOfThem) {
+TEST(QuarantineClusterTest, withoutSuspectsNoListIsSent) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
@@ -259,7 +259,7 @@
 }
 
 /// Guards against a resumed leader that answers its first message under an expired lease.
-TEST(RegistryClusterTest, aLeaderThatWasSuspendedTellsGatewaysNothing) {
+TEST(RegistryClusterTest, aLeaderThatWasSuspendedSendsGatewaysNoView) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
--- a/test/registry/unreadable_entry_test.cpp
+++ b/test/registry/unreadable_entry_test.cpp
@@ -50,13 +50,13 @@
   }
 };
 
-TEST(UnreadableEntryTest, itEndsTheServerWithATypedError) {
+TEST(UnreadableEntryTest, anUnreadableEntryStopsTheServerWithATypedError) {
   const auto error = runWith("of a later build");
   CHECK_TRUE(error.has_value());
   CHECK_TRUE(error->code == base::ErrorCode::malformedInput);
   STRCMP_EQUAL("command", error->field.c_str());
 }
 
-TEST(UnreadableEntryTest, whatCanBeReadIsApplied) {
+TEST(UnreadableEntryTest, aReadableEntryIsApplied) {
   CHECK_FALSE(runWith(encodeCommand(StoreDocument{1, "1 one"})).has_value());
 }
--- a/test/registry/view_codec_test.cpp
+++ b/test/registry/view_codec_test.cpp
@@ -63,12 +63,12 @@
   }
 };
 
-TEST(ViewCodecTest, aViewComesBackAsItWas) {
+TEST(ViewCodecTest, aViewIsDecodedAsItWasEncoded) {
   roundTrip(ViewUpdate{});
   roundTrip(complete());
 }
 
-TEST(ViewCodecTest, aChangeComesBackWithTheRecordThatWasToldBefore) {
+TEST(ViewCodecTest, aChangeIsDecodedWithTheRecordSentBefore) {
   roundTrip(complete());
   ViewUpdate change;
   change.changed = {viewOf("w1", {"m2", "m3"})};
@@ -92,7 +92,7 @@
   CHECK_TRUE(roundTrip(change).size() <= kMostBytes);
 }
 
-TEST(ViewCodecTest, eachGatewayIsToldNamesOfItsOwn) {
+TEST(ViewCodecTest, namesAreSentToEachGatewaySeparately) {
   roundTrip(complete());
   ViewCursor other;
   ViewDecoder otherDecoder;
@@ -102,7 +102,7 @@
   checkSame(view, decoded.value());
 }
 
-TEST(ViewCodecTest, aLimitIsToldToGatewaysThatReadIt) {
+TEST(ViewCodecTest, aLimitIsSentToGatewaysThatSupportIt) {
   ViewUpdate view = complete();
   view.changed[0].limit = 0.25;
   cursor.acceptsLimits = true;
@@ -127,12 +127,12 @@
   CHECK(encoderWithout.encode(without, first) == encoderWith.encode(with, second));
 }
 
-TEST(ViewCodecTest, aCompleteViewStartsAnew) {
+TEST(ViewCodecTest, aCompleteViewResetsTheState) {
   roundTrip(complete());
   roundTrip(complete());
 }
 
-TEST(ViewCodecTest, namesAreNumberedAnewWhenThereAreTooMany) {
+TEST(ViewCodecTest, namesAreRenumberedWhenThereAreTooMany) {
   roundTrip(complete());
   for (std::size_t number = 0; number < ViewEncoder::kMaxNames; ++number) {
     ViewUpdate change;
@@ -144,7 +144,7 @@
   roundTrip(change);
 }
 
-TEST(ViewCodecTest, whatIsNoViewIsRefused) {
+TEST(ViewCodecTest, malformedViewsAreRefused) {
   CHECK_TRUE(decoder.decode("").has_error());
   CHECK_TRUE(decoder.decode("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff").has_error());
   const std::string bytes = encoder.encode(complete(), cursor);
--- a/test/registry/view_interest_test.cpp
+++ b/test/registry/view_interest_test.cpp
@@ -51,7 +51,7 @@
   }
 };
 
-TEST(ViewInterestTest, nobodyIsFollowedForAModelBeforeItIsAskedFor) {
+TEST(ViewInterestTest, noWorkerIsFollowedForAModelBeforeItIsRequested) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   CHECK_EQUAL(0, interest.followedBy(kGateway).size());
@@ -68,7 +68,7 @@
   CHECK_EQUAL(1, followedIn(kGateway, "b"));
 }
 
-TEST(ViewInterestTest, gatewaysOfOneGroupFollowTheSameAndOthersOthers) {
+TEST(ViewInterestTest, gatewaysFollowTheSameWorkersWithinAGroupOnly) {
   addWorkers(100, "a", "a");
   std::set<WorkerId> all;
   for (std::uint64_t gateway = 1; gateway <= 2 * ViewInterest::kGroups; ++gateway) {
@@ -81,7 +81,7 @@
   CHECK_EQUAL(ViewInterest::kGroups * ViewInterest::kModelWorkers, all.size());
 }
 
-TEST(ViewInterestTest, whoseRequestsWaitIsToldOfMore) {
+TEST(ViewInterestTest, aGatewayWithWaitingRequestsFollowsMoreWorkers) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   interest.recordRequest(kGateway, kModel, true, now);
@@ -91,7 +91,7 @@
   CHECK_EQUAL(2 * ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
-TEST(ViewInterestTest, moreAreFollowedWhileTheyAreBusy) {
+TEST(ViewInterestTest, moreWorkersAreFollowedWhileTheyAreBusy) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   interest.recordRequest(kGateway, kModel, false, now);
@@ -102,7 +102,7 @@
   CHECK_EQUAL(2 * ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
-TEST(ViewInterestTest, whoTurnsSilentOrLosesTheModelIsReplaced) {
+TEST(ViewInterestTest, anUnresponsiveWorkerOrOneWithoutTheModelIsReplaced) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   interest.recordRequest(kGateway, kModel, false, now);
@@ -114,7 +114,7 @@
   CHECK_EQUAL(ViewInterest::kModelWorkers + 2, interest.followedBy(kGateway).size());
 }
 
-TEST(ViewInterestTest, aWorkerThatEndsIsReplacedAndTold) {
+TEST(ViewInterestTest, aRemovedWorkerIsReplacedAndReported) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   interest.recordRequest(kGateway, kModel, false, now);
@@ -128,7 +128,7 @@
   CHECK_TRUE(changes.at(1).follows);
 }
 
-TEST(ViewInterestTest, whoWaitsForAnAdapterIsToldOnceAWorkerHasIt) {
+TEST(ViewInterestTest, aWorkerIsFollowedOnceItHasARequestedAdapter) {
   addWorkers(10, "a", "a");
   interest.addGateway(kGateway, {"a"});
   interest.recordRequest(kGateway, {"svc", "m", "a1"}, true, now);
@@ -137,7 +137,7 @@
   CHECK_EQUAL(1, interest.followedBy(kGateway).count({"a7"}));
 }
 
-TEST(ViewInterestTest, workersOfAPlainServiceAreFollowedUnasked) {
+TEST(ViewInterestTest, workersOfAPlainServiceAreFollowedWithoutRequests) {
   interest.addGateway(kGateway, {"a"});
   for (std::size_t index = 0; index < 100; ++index) {
     interest.setWorker(worker(name("p", index), "a", {}), true);
@@ -147,7 +147,7 @@
   CHECK_EQUAL(ViewInterest::kPlainWorkers, interest.followedBy(kOther).size());
 }
 
-TEST(ViewInterestTest, anEvacuatedZoneIsReplacedByAnother) {
+TEST(ViewInterestTest, workersOfAnEvacuatedZoneAreReplacedByAnotherZone) {
   addWorkers(10, "a", "a");
   addWorkers(10, "b", "b");
   interest.addGateway(kGateway, {"a"});
@@ -160,7 +160,7 @@
   CHECK_EQUAL(ViewInterest::kModelWorkers, followedIn(kGateway, "b"));
 }
 
-TEST(ViewInterestTest, whatIsOfNoUseAnyMoreIsDropped) {
+TEST(ViewInterestTest, workersThatAreNoLongerNeededAreDropped) {
   interest.addGateway(kGateway, {"a"});
   constexpr std::size_t kModels = 200;
   for (std::size_t model = 0; model < kModels; ++model) {
@@ -225,7 +225,7 @@
   CHECK_TRUE(sent.front().update.changed.empty());
 }
 
-TEST(LargeViewPublisherTest, whoAsksIsToldAtOnceAndNobodyElse) {
+TEST(LargeViewPublisherTest, onlyTheRequestingGatewayIsSentAnUpdate) {
   const base::TimePoint now = sendAll();
   publisher.recordRequest({5}, kModel, true, now);
   const auto sent = updates(now + 1ms);
@@ -234,7 +234,7 @@
   CHECK_EQUAL(ViewInterest::kModelWorkers, sent.front().update.changed.size());
 }
 
-TEST(LargeViewPublisherTest, aChangeIsToldToThoseWhoFollowTheWorker) {
+TEST(LargeViewPublisherTest, aChangeIsSentToFollowersOfTheWorker) {
   const base::TimePoint now = sendAll();
   const WorkerId followed = requestAt(5, now);
   WorkerView changed = worker(followed.value, "a", {{"m", 1, {}}});
@@ -246,7 +246,7 @@
   CHECK_EQUAL(2, sent.front().update.changed.size());  // The worker and its replacement.
 }
 
-TEST(LargeViewPublisherTest, aWorkerThatEndedIsToldToThoseWhoFollowedIt) {
+TEST(LargeViewPublisherTest, aRemovalIsSentToFollowersOfTheWorker) {
   const base::TimePoint now = sendAll();
   const WorkerId followed = requestAt(5, now);
   publisher.removeWorker(followed);
@@ -255,7 +255,7 @@
   CHECK_EQUAL(1, sent.front().update.removed.size());
 }
 
-TEST(LargeViewPublisherTest, loadsOfFollowedWorkersGoWithTheNextUpdate) {
+TEST(LargeViewPublisherTest, loadsOfFollowedWorkersAreSentWithTheNextUpdate) {
   const base::TimePoint now = sendAll();
   const WorkerId followed = requestAt(5, now);
   loads = {{followed, "", 3}, {{"w-unknown"}, "", 1}};
@@ -273,7 +273,7 @@
   CHECK_EQUAL(3, told);
 }
 
-TEST(LargeViewPublisherTest, eachGatewayHearsSomethingEachInterval) {
+TEST(LargeViewPublisherTest, eachGatewayIsSentAnUpdateEachInterval) {
   const base::TimePoint now = sendAll();
   std::set<std::uint64_t> contacted;
   for (base::TimePoint later = now; later <= now + 250ms; later += 5ms) {
@@ -284,7 +284,7 @@
   CHECK_EQUAL(kGateways, contacted.size());
 }
 
-TEST(LargeViewPublisherTest, aNewDocumentIsToldToAll) {
+TEST(LargeViewPublisherTest, aNewDocumentIsPublishedToAllGateways) {
   const base::TimePoint now = sendAll();
   std::set<std::uint64_t> told;
   for (base::TimePoint later = now; later < now + 10ms; later += 1ms) {
@@ -297,19 +297,19 @@
 }
 
 /// Otherwise each document would delay consensus in proportion to the number of gateways.
-TEST(LargeViewPublisherTest, oneTurnTellsABoundedNumber) {
+TEST(LargeViewPublisherTest, theUpdatesOfOneIterationAreBounded) {
   const base::TimePoint now = sendAll();
   CHECK_TRUE(publisher.takeUpdates(now, 1, 2, loads, {}).size() <= 64);
   CHECK_TRUE(publisher.due(now, 2));
 }
 
-TEST(LargeViewPublisherTest, nothingIsDueOnceAllIsTold) {
+TEST(LargeViewPublisherTest, nothingIsDueOnceAllUpdatesAreSent) {
   const base::TimePoint now = sendAll();
   CHECK_FALSE(publisher.due(now, 1));
 }
 
 /// A gateway was sent all workers while the fleet was small.
-TEST(LargeViewPublisherTest, whatAGatewayKnowsFromBeforeIsKeptUpToDate) {
+TEST(LargeViewPublisherTest, workersSentBeforeTheSwitchAreKeptUpToDate) {
   ViewPublisher growing{250ms};
   growing.subscribe({1}, {"a"});
   growing.setWorker(worker("first", "a", {{"m", 1, {}}}));
--- a/test/registry/view_publisher_test.cpp
+++ b/test/registry/view_publisher_test.cpp
@@ -38,7 +38,7 @@
 }
 
 /// Gateways that start together must not block the event loop.
-TEST(ViewPublisherTest, completeUpdatesAreMadeAFewAtATime) {
+TEST(ViewPublisherTest, completeUpdatesPerTimeSliceAreBounded) {
   constexpr std::uint64_t kGateways = 20;
   for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
     publisher.subscribe({gateway});
@@ -50,7 +50,7 @@
   CHECK_EQUAL(4, updates(start + 20ms).size());
 }
 
-TEST(ViewPublisherTest, onlyChangesFollow) {
+TEST(ViewPublisherTest, laterUpdatesHaveOnlyChanges) {
   publisher.setWorker(view("a"));
   publisher.setWorker(view("b"));
   publisher.subscribe({1});
@@ -64,14 +64,14 @@
   CHECK_TRUE(sent[0].update.changed[0].record.leaving);
 }
 
-TEST(ViewPublisherTest, aGatewayHearsSomethingEachInterval) {
+TEST(ViewPublisherTest, aGatewayIsSentAnUpdateEachInterval) {
   publisher.subscribe({1});
   (void)updates(start);
   CHECK_TRUE(updates(start + 249ms).empty());
   CHECK_EQUAL(1, updates(start + 250ms).size());
 }
 
-TEST(ViewPublisherTest, aRemovedWorkerIsToldToThoseThatKnewIt) {
+TEST(ViewPublisherTest, aRemovalIsSentToGatewaysThatKnowTheWorker) {
   publisher.setWorker(view("w"));
   publisher.subscribe({1});
   (void)updates(start);
@@ -84,7 +84,7 @@
   CHECK_TRUE(publisher.workers().empty());
 }
 
-TEST(ViewPublisherTest, onlyLoadsThatChangedAreToldAndTheirEndToo) {
+TEST(ViewPublisherTest, onlyChangedLoadsAreSentIncludingTheirEnd) {
   publisher.setWorker(view("a"));
   publisher.setWorker(view("b"));
   publisher.subscribe({1});
@@ -100,7 +100,7 @@
   CHECK_EQUAL(0, ended[0].update.loads[0].running);
 }
 
-TEST(ViewPublisherTest, loadsAreNotToldWithEachChangeOfAWorker) {
+TEST(ViewPublisherTest, loadsAreNotSentWithEachChangeOfAWorker) {
   publisher.setWorker(view("a"));
   publisher.subscribe({1});
   (void)updates(start);
@@ -110,7 +110,7 @@
   CHECK_EQUAL(1, updates(start + 255ms)[0].update.loads.size());
 }
 
-TEST(ViewPublisherTest, aNewGatewayIsToldAllLoads) {
+TEST(ViewPublisherTest, aNewGatewayIsSentAllLoads) {
   publisher.setWorker(view("a"));
   publisher.subscribe({1});
   loads = {{{"a"}, "", 2}};
@@ -120,7 +120,7 @@
   CHECK_EQUAL(1, sent.back().update.loads.size());
 }
 
-TEST(ViewPublisherTest, serversAreToldWhenTheyChange) {
+TEST(ViewPublisherTest, serversAreSentWhenTheyChange) {
   servers = {{"10.0.0.1", 1}};
   publisher.subscribe({1});
   CHECK_EQUAL(1, updates(start)[0].update.servers.size());
@@ -130,7 +130,7 @@
 }
 
 /// Otherwise each new gateway would cause an update to all others.
-TEST(ViewPublisherTest, theCountOfGatewaysIsToldAtOnceOnlyIfItGrewMuch) {
+TEST(ViewPublisherTest, onlyLargeGrowthOfTheGatewayCountIsSentAtOnce) {
   for (std::uint64_t gateway = 1; gateway <= 4; ++gateway) {
     publisher.subscribe({gateway});
   }
--- a/test/registry/zone_evacuation_test.cpp
+++ b/test/registry/zone_evacuation_test.cpp
@@ -56,7 +56,7 @@
   }
 };
 
-TEST(ZoneEvacuationClusterTest, anyServerTakesIt) {
+TEST(ZoneEvacuationClusterTest, anyServerAcceptsAnEvacuation) {
   startFive();
   registerWorker();
   for (std::uint16_t port = 1; port <= 5; ++port) {
@@ -67,14 +67,14 @@
   }
 }
 
-TEST(ZoneEvacuationClusterTest, itIsAcknowledgedWithinAHundredMilliseconds) {
+TEST(ZoneEvacuationClusterTest, anEvacuationIsAcknowledgedWithinAHundredMilliseconds) {
   startFive();
   const base::TimePoint before = cluster.now();
   CHECK_TRUE(cluster.call(2, kBegin).status == ControlStatus::done);
   CHECK_TRUE(cluster.now() - before <= 100ms);
 }
 
-TEST(ZoneEvacuationClusterTest, aRepeatedOrderIsAcknowledgedAgain) {
+TEST(ZoneEvacuationClusterTest, aRepeatedEvacuationIsAcknowledgedAgain) {
   startFive();
   order(1, kBegin);
   CHECK_TRUE(cluster.call(2, kBegin).status == ControlStatus::done);
@@ -221,7 +221,7 @@
   CHECK_TRUE(told().at({"w1"}));
 }
 
-TEST(ZoneEvacuationDutiesTest, itsModelsAreLoadedElsewhereAndNothingIsOrderedThere) {
+TEST(ZoneEvacuationDutiesTest, modelsOfAnEvacuatedZoneAreLoadedElsewhere) {
   inZoneA("w1");
   lead();
   hold("w1", "a");
