--- a/test/registry/cluster.h
+++ b/test/registry/cluster.h
@@ -62,8 +62,8 @@
     node.registry = makeRegistry(options, node.disk.state, membership, reader_, log_, port, now_);
     for (const auto& [other, otherNode] : nodes_) {
       if (other != port && otherNode.registry) {
-        greet(port, other);
-        greet(other, port);
+        deliverHello(port, other);
+        deliverHello(other, port);
       }
     }
   }
@@ -71,11 +71,11 @@
   void setFeatureLevel(std::uint16_t port, std::uint32_t level) { levels_[port] = level; }
   void stop(std::uint16_t port) { nodes_.at(port).registry.reset(); }
   void loseDisk(std::uint16_t port) { nodes_.at(port).disk = {}; }
-  void cut(std::uint16_t port) { cut_.insert(port); }
-  /// Suspends the server's machine; messages to it are delayed until `wake`.
+  void partition(std::uint16_t port) { partitioned_.insert(port); }
+  /// Suspends the server's machine; messages to it are delayed until `resume`.
   void suspend(std::uint16_t port) { suspended_.insert(port); }
-  void wake(std::uint16_t port) { suspended_.erase(port); }
-  void heal(std::uint16_t port) { cut_.erase(port); }
+  void resume(std::uint16_t port) { suspended_.erase(port); }
+  void reconnect(std::uint16_t port) { partitioned_.erase(port); }
 
   /// Makes a call to a server and runs until it is answered, or for 5 s.
   ControlAnswer call(std::uint16_t port, ControlCall body) {
@@ -89,8 +89,8 @@
     return answers_.count(number) == 0 ? ControlAnswer{} : answers_.at(number);
   }
   /// Repeats a call to a server until it is done or the time has passed.
-  bool callUntilDone(std::uint16_t port, const ControlCall& body, base::Duration patience) {
-    const base::TimePoint limit = now_ + patience;
+  bool callUntilDone(std::uint16_t port, const ControlCall& body, base::Duration timeout) {
+    const base::TimePoint limit = now_ + timeout;
     while (now_ < limit) {
       if (call(port, body).status == ControlStatus::done) {
         return true;
@@ -108,7 +108,7 @@
 
   std::optional<std::uint16_t> leader() const {
     for (const auto& [port, node] : nodes_) {
-      if (node.registry && cut_.count(port) == 0 &&
+      if (node.registry && partitioned_.count(port) == 0 &&
           node.registry->raftStatus().role == consensus::Role::leader) {
         return port;
       }
@@ -130,19 +130,19 @@
   }
 
   /// Sends a message of a gateway to a server. @return the messages sent back within that time.
-  std::vector<MessageBody> say(std::uint16_t port, MessageBody body,
-                               base::Duration patience = std::chrono::seconds(1)) {
+  std::vector<MessageBody> sendAsGateway(std::uint16_t port, MessageBody body,
+                                         base::Duration timeout = std::chrono::seconds(1)) {
     toGateway_.clear();
     nodes_.at(port).registry->step(
         now_, LinkReceived{connection(port, kGatewayPort),
                            protocol::Message(RegistryMessage{std::move(body)})});
     settle(port);
-    run(patience);
+    run(timeout);
     return toGateway_;
   }
   std::vector<MessageBody> subscribe(std::uint16_t port,
-                                     base::Duration patience = std::chrono::seconds(1)) {
-    return say(port, Subscribe{}, patience);
+                                     base::Duration timeout = std::chrono::seconds(1)) {
+    return sendAsGateway(port, Subscribe{}, timeout);
   }
   /// @return a heartbeat of a worker that holds `models`.
   static ReportAlive alive(const char* id, std::uint64_t sequence, bool leaving,
@@ -172,7 +172,7 @@
   };
 
   /// Delivers the Hello of `from` to `to`.
-  void greet(std::uint16_t from, std::uint16_t to) {
+  void deliverHello(std::uint16_t from, std::uint16_t to) {
     protocol::Hello hello;
     hello.role = protocol::PeerRole::controller;
     hello.id = nodes_.at(from).registry->raftStatus().self.value;
@@ -194,7 +194,8 @@
     }
     network_ = std::move(later);
     for (InFlight& message : due) {
-      const bool lost = cut_.count(message.from) != 0 || cut_.count(message.to) != 0;
+      const bool lost =
+          partitioned_.count(message.from) != 0 || partitioned_.count(message.to) != 0;
       const auto found = nodes_.find(message.to);
       if (suspended_.count(message.to) != 0) {
         network_.push_back(std::move(message));
@@ -269,7 +270,7 @@
   base::TimePoint now_ = base::TimePoint(std::chrono::seconds(1000));
   std::map<std::uint16_t, Node> nodes_;
   std::map<std::uint16_t, std::uint32_t> levels_;  ///< Feature levels that differ from this build.
-  std::set<std::uint16_t> cut_;
+  std::set<std::uint16_t> partitioned_;
   std::set<std::uint16_t> suspended_;
   std::vector<InFlight> network_;
   std::uint64_t lastCall_ = 0;
--- a/test/registry/heartbeat_relay_test.cpp
+++ b/test/registry/heartbeat_relay_test.cpp
@@ -19,29 +19,29 @@
   HeartbeatRelay relay;
   base::TimePoint now = base::TimePoint(100s);
 
-  static Heartbeat beat(const char* id, std::uint64_t sequence, const char* model = "m") {
+  static Heartbeat makeHeartbeat(const char* id, std::uint64_t sequence, const char* model = "m") {
     return Cluster::alive(id, sequence, false, {model}).heartbeat;
   }
   /// @return the batch for the leader; empty if none is due.
   HeartbeatBatch batch() { return relay.takeBatch(now).value_or(HeartbeatBatch{}); }
-  void setup() override { state.apply(StoreWorker{beat("w", 1).worker}); }
+  void setup() override { state.apply(StoreWorker{makeHeartbeat("w", 1).worker}); }
 };
 
 TEST(HeartbeatRelayTest, aHeartbeatThatChangesTheRecordIsLeftToTheLeader) {
-  CHECK_FALSE(relay.take(beat("unknown", 1), state));
-  Heartbeat leaving = beat("w", 2);
+  CHECK_FALSE(relay.take(makeHeartbeat("unknown", 1), state));
+  Heartbeat leaving = makeHeartbeat("w", 2);
   leaving.worker.leaving = true;
   CHECK_FALSE(relay.take(leaving, state));
-  Heartbeat elsewhere = beat("w", 3);
+  Heartbeat elsewhere = makeHeartbeat("w", 3);
   elsewhere.worker.endpoint.port = 81;
   CHECK_FALSE(relay.take(elsewhere, state));
   CHECK_TRUE(relay.takeBatch(now) == std::nullopt);
 }
 
 TEST(HeartbeatRelayTest, anUnchangedHeartbeatIsReportedAsContactOnly) {
-  CHECK_TRUE(relay.take(beat("w", 1), state));
+  CHECK_TRUE(relay.take(makeHeartbeat("w", 1), state));
   CHECK_EQUAL(1, batch().changed.size());
-  CHECK_TRUE(relay.take(beat("w", 2), state));
+  CHECK_TRUE(relay.take(makeHeartbeat("w", 2), state));
   CHECK_TRUE(batch().contacts.empty());
   now += HeartbeatRelay::kBatchInterval;
   const HeartbeatBatch again = batch();
@@ -51,32 +51,32 @@
 }
 
 TEST(HeartbeatRelayTest, aChangedModelIsReportedAfterTheChangeSpacing) {
-  relay.take(beat("w", 1), state);
+  relay.take(makeHeartbeat("w", 1), state);
   (void)batch();
   now += HeartbeatRelay::kChangeSpacing;
-  relay.take(beat("w", 2, "other"), state);
+  relay.take(makeHeartbeat("w", 2, "other"), state);
   CHECK_EQUAL(1, batch().changed.size());
 }
 
 TEST(HeartbeatRelayTest, aLateHeartbeatWithALowerSequenceIsIgnored) {
-  relay.take(beat("w", 5), state);
+  relay.take(makeHeartbeat("w", 5), state);
   (void)batch();
-  CHECK_TRUE(relay.take(beat("w", 4, "other"), state));
+  CHECK_TRUE(relay.take(makeHeartbeat("w", 4, "other"), state));
   now += HeartbeatRelay::kBatchInterval;
   CHECK_TRUE(batch().changed.empty());
 }
 
 TEST(HeartbeatRelayTest, aNewLeaderIsSentFullHeartbeats) {
-  relay.take(beat("w", 1), state);
+  relay.take(makeHeartbeat("w", 1), state);
   (void)batch();
   relay.leaderChanged();
-  relay.take(beat("w", 2), state);
+  relay.take(makeHeartbeat("w", 2), state);
   now += HeartbeatRelay::kBatchInterval;
   CHECK_EQUAL(1, batch().changed.size());
 }
 
 TEST(HeartbeatRelayTest, requestedWorkersAreReportedInFull) {
-  relay.take(beat("w", 1), state);
+  relay.take(makeHeartbeat("w", 1), state);
   (void)batch();
   relay.requestFull({{{"w"}, {"gone"}}});
   now += HeartbeatRelay::kChangeSpacing;
@@ -84,9 +84,9 @@
 }
 
 TEST(HeartbeatRelayTest, aForgottenWorkerIsNotReported) {
-  relay.take(beat("w", 1), state);
+  relay.take(makeHeartbeat("w", 1), state);
   state.apply(ForgetWorker{{"w"}});
-  CHECK_FALSE(relay.take(beat("w", 2), state));
+  CHECK_FALSE(relay.take(makeHeartbeat("w", 2), state));
   CHECK_EQUAL(0, relay.workerCount());
   CHECK_TRUE(relay.takeBatch(now) == std::nullopt);
 }
@@ -95,19 +95,19 @@
 TEST(HeartbeatRelayTest, manyFullHeartbeatsAreSentInSeveralBatches) {
   constexpr std::size_t kWorkers = 150;
   for (std::size_t index = 0; index < kWorkers; ++index) {
-    Heartbeat one = beat(("w" + std::to_string(index)).c_str(), 1);
+    Heartbeat one = makeHeartbeat(("w" + std::to_string(index)).c_str(), 1);
     one.worker.endpoint.port = static_cast<std::uint16_t>(1000 + index);
     state.apply(StoreWorker{one.worker});
     CHECK_TRUE(relay.take(one, state));
   }
-  std::size_t told = 0;
+  std::size_t reportedCount = 0;
   for (int count = 0; count < 3; ++count) {
     const std::size_t changed = batch().changed.size();
     CHECK_TRUE(changed <= HeartbeatRelay::kMaxFullHeartbeats);
-    told += changed;
+    reportedCount += changed;
     now += HeartbeatRelay::kChangeSpacing;
   }
-  CHECK_EQUAL(kWorkers, told);
+  CHECK_EQUAL(kWorkers, reportedCount);
 }
 
 TEST_GROUP(HeartbeatRelayClusterTest) {
@@ -129,11 +129,11 @@
     CHECK_TRUE(cluster.callUntilDone(other, Cluster::alive("w", ++sequence, false, {"m"}), 5s));
     cluster.run(100ms);
   }
-  ControlAnswer beat(std::uint16_t port) {
+  ControlAnswer sendHeartbeat(std::uint16_t port) {
     return cluster.call(port, Cluster::alive("w", ++sequence, false, {"m"}));
   }
   /// @return the view of the worker that is sent to a new gateway.
-  std::optional<WorkerView> told() {
+  std::optional<WorkerView> publishedView() {
     ViewDecoder decoder;
     std::optional<WorkerView> view;
     for (const MessageBody& body : cluster.subscribe(*cluster.leader(), 300ms)) {
@@ -150,7 +150,7 @@
 
 TEST(HeartbeatRelayClusterTest, aFollowerAnswersAtOnceAndKeepsTheWorker) {
   const base::TimePoint before = cluster.now();
-  const ControlAnswer answer = beat(other);
+  const ControlAnswer answer = sendHeartbeat(other);
   CHECK_TRUE(answer.status == ControlStatus::done);
   CHECK_TRUE(cluster.now() == before);
   CHECK_EQUAL(other, answer.leader->port);
@@ -159,41 +159,41 @@
 TEST(HeartbeatRelayClusterTest, relayedHeartbeatsShowTheLeaderThatTheWorkerIsAlive) {
   for (int count = 0; count < 10; ++count) {
     cluster.run(1s);
-    CHECK_TRUE(beat(other).status == ControlStatus::done);
+    CHECK_TRUE(sendHeartbeat(other).status == ControlStatus::done);
   }
-  CHECK_FALSE(told()->silent);
-  CHECK_EQUAL(1, told()->models.size());
+  CHECK_FALSE(publishedView()->silent);
+  CHECK_EQUAL(1, publishedView()->models.size());
   cluster.run(6s);
-  CHECK_TRUE(told()->silent);
+  CHECK_TRUE(publishedView()->silent);
 }
 
 /// Such a heartbeat would be acknowledged while the leader considers its worker unresponsive.
 TEST(HeartbeatRelayClusterTest, aServerThatIsCutOffTakesNone) {
-  cluster.cut(other);
+  cluster.partition(other);
   cluster.run(1s);
-  CHECK_TRUE(beat(other).status == ControlStatus::unavailable);
+  CHECK_TRUE(sendHeartbeat(other).status == ControlStatus::unavailable);
 }
 
 TEST(HeartbeatRelayClusterTest, aServerThatWasSuspendedTakesNoneBeforeItHearsTheLeader) {
   cluster.suspend(other);
   cluster.run(3s);
-  cluster.wake(other);
+  cluster.resume(other);
   const base::TimePoint before = cluster.now();
-  (void)beat(other);
+  (void)sendHeartbeat(other);
   CHECK_TRUE(cluster.now() > before);
 }
 
 TEST(HeartbeatRelayClusterTest, anotherLeaderHearsOfTheWorkerInFull) {
-  cluster.cut(leader);
+  cluster.partition(leader);
   cluster.run(4s);
   CHECK_TRUE(cluster.leader().has_value());
   const auto third = static_cast<std::uint16_t>(other % 5 + 1);
   for (int count = 0; count < 3; ++count) {
-    (void)beat(*cluster.leader() == other ? third : other);
+    (void)sendHeartbeat(*cluster.leader() == other ? third : other);
     cluster.run(1s);
   }
-  CHECK_FALSE(told()->silent);
-  CHECK_EQUAL(1, told()->models.size());
+  CHECK_FALSE(publishedView()->silent);
+  CHECK_EQUAL(1, publishedView()->models.size());
 }
 
 /// A leader of an earlier build does not support HeartbeatBatch.
--- a/test/registry/leader_duties_kit.h
+++ b/test/registry/leader_duties_kit.h
@@ -76,7 +76,7 @@
   std::uint64_t sequence = 0;
   std::map<WorkerId, Holdings> holdings;  ///< Holdings in the last heartbeats.
   ViewDecoder decoder;
-  std::map<WorkerId, bool> failingTold;
+  std::map<WorkerId, bool> publishedFailing;
 
   void setup() override {
     options.orderLease = kLease;
@@ -169,7 +169,7 @@
     duties->heartbeat(heartbeat, now);
   }
   /// @return true if the worker is failing according to the last view with it.
-  bool toldFailing(const WorkerId& worker) {
+  bool publishedAsFailing(const WorkerId& worker) {
     for (const RegistryAction& action : std::exchange(actions, {})) {
       const auto* sent = std::get_if<control::SendToConnection>(&action);
       const auto* packed =
@@ -178,11 +178,11 @@
       if (packed != nullptr) {
         const ViewUpdate update = decoder.decode(packed->bytes).value();
         for (const WorkerView& view : update.changed) {
-          failingTold[view.record.id] = view.failing;
+          publishedFailing[view.record.id] = view.failing;
         }
       }
     }
-    return failingTold[worker];
+    return publishedFailing[worker];
   }
   template <class Action>
   std::size_t count() const {
--- a/test/registry/leader_duties_test.cpp
+++ b/test/registry/leader_duties_test.cpp
@@ -207,12 +207,12 @@
   hold("w1", "a");
   duties->subscribe(kGateway, {});
   runAnswering(1s);
-  CHECK_FALSE(toldFailing({"w1"}));
+  CHECK_FALSE(publishedAsFailing({"w1"}));
   reportFailures(*duties, "w1", now);
   run(100ms);
-  CHECK_TRUE(toldFailing({"w1"}));
+  CHECK_TRUE(publishedAsFailing({"w1"}));
   run(5s);
-  CHECK_FALSE(toldFailing({"w1"}));
+  CHECK_FALSE(publishedAsFailing({"w1"}));
 }
 
 TEST(LeaderDutiesTest, aNewLeaderHoldsNobodyToFailUntilItHearsOfIt) {
@@ -222,7 +222,7 @@
   lead();
   duties->subscribe(kGateway, {});
   run(300ms);
-  CHECK_FALSE(toldFailing({"w1"}));
+  CHECK_FALSE(publishedAsFailing({"w1"}));
 }
 
 /// A partitioned leader does not know what another leader has acknowledged since.
--- a/test/registry/leader_faults_test.cpp
+++ b/test/registry/leader_faults_test.cpp
@@ -15,7 +15,7 @@
 }
 /// Advances the time while nothing runs.
 void sleep(base::Duration duration) { now += duration; }
-bool toldSilent() const {
+bool loggedUnresponsive() const {
   return std::any_of(log.lines.begin(), log.lines.end(), [](runtime::LogEvent event) {
     return event == runtime::LogEvent::workerSilent;
   });
@@ -26,9 +26,9 @@
 TEST(SuspendedLeaderTest, workersAreNotUnresponsiveRightAfterTheSuspension) {
   sleep(5s);
   run(1s);
-  CHECK_FALSE(toldSilent());
+  CHECK_FALSE(loggedUnresponsive());
   run(5s);
-  CHECK_TRUE(toldSilent());
+  CHECK_TRUE(loggedUnresponsive());
 }
 
 TEST(SuspendedLeaderTest, workersAreNotForgottenRightAfterTheSuspension) {
--- a/test/registry/registry_cluster_test.cpp
+++ b/test/registry/registry_cluster_test.cpp
@@ -99,12 +99,12 @@
   startFive();
   declare(1, "1 one");
   const std::uint16_t old = *cluster.leader();
-  cluster.cut(old);
+  cluster.partition(old);
   CHECK_TRUE(cluster.call(old, ReplaceDocument{"2 two"}).status == ControlStatus::unavailable);
   const std::uint16_t other = old == 1 ? 2 : 1;
   declare(other, "3 three");
   CHECK_TRUE(cluster.call(old, ReadDocument{}).status == ControlStatus::unavailable);
-  cluster.heal(old);
+  cluster.reconnect(old);
   cluster.run(3s);
   STRCMP_EQUAL("3 three", readAt(old).c_str());
 }
@@ -182,10 +182,10 @@
   ports.push_back(leader);
   for (const std::uint16_t port : ports) {
     const auto answers = cluster.subscribe(port);
-    const bool told = std::any_of(answers.begin(), answers.end(), [](const MessageBody& body) {
+    const bool isSent = std::any_of(answers.begin(), answers.end(), [](const MessageBody& body) {
       return std::holds_alternative<PackedView>(body) || std::holds_alternative<DocumentPart>(body);
     });
-    CHECK_EQUAL(port == leader, told);
+    CHECK_EQUAL(port == leader, isSent);
   }
 }
 
@@ -209,13 +209,13 @@
 for (const char* id : {"w1", "w2", "w3"}) {
   report.cuts.push_back({RequestDigest{}, {id}, false, 0s});
 }
-(void)cluster.say(*cluster.leader(), report);
+(void)cluster.sendAsGateway(*cluster.leader(), report);
 }
 /// Checks that the leader sends a new gateway the quarantine before anything else.
-void checkToldFirst() {
-  const std::vector<MessageBody> told = cluster.subscribe(*cluster.leader());
-  CHECK_FALSE(told.empty());
-  const auto* list = std::get_if<SuspectList>(&told.front());
+void checkListSentFirst() {
+  const std::vector<MessageBody> received = cluster.subscribe(*cluster.leader());
+  CHECK_FALSE(received.empty());
+  const auto* list = std::get_if<SuspectList>(&received.front());
   CHECK(list != nullptr);
   CHECK_EQUAL(1, list->requests.size());
   CHECK(list->requests[0].standing == RequestStanding::quarantined);
@@ -228,10 +228,10 @@
   cluster.run(5s);
   declare(1, "1 one");
   quarantine();
-  checkToldFirst();
+  checkListSentFirst();
   cluster.stop(*cluster.leader());
   cluster.run(5s);
-  checkToldFirst();
+  checkListSentFirst();
 }
 
 TEST(QuarantineClusterTest, aQuarantineSurvivesARestartOfAllServers) {
@@ -246,7 +246,7 @@
     cluster.start(port, port, {}, kSeeds);
   }
   cluster.run(5s);
-  checkToldFirst();
+  checkListSentFirst();
 }
 
 TEST(QuarantineClusterTest, withoutSuspectsNoListIsSent) {
@@ -266,11 +266,11 @@
   const std::uint16_t former = *cluster.leader();
   cluster.suspend(former);
   cluster.run(5s);
-  const std::vector<MessageBody> told = cluster.subscribe(former, 0s);
-  for (const MessageBody& body : told) {
+  const std::vector<MessageBody> received = cluster.subscribe(former, 0s);
+  for (const MessageBody& body : received) {
     CHECK_FALSE(std::holds_alternative<PackedView>(body));
   }
-  cluster.wake(former);
+  cluster.resume(former);
   cluster.run(2s);
   CHECK(cluster.leader() != former);
 }
@@ -284,7 +284,7 @@
   cluster.run(3s);
   const std::uint16_t other = former == 1 ? 2 : 1;
   declare(other, "2 two");
-  cluster.wake(former);
+  cluster.resume(former);
   const ControlAnswer answer = cluster.call(former, ReadDocument{});
   CHECK(answer.status != ControlStatus::done || answer.text == "2 two");
 }
@@ -308,11 +308,11 @@
   cluster.run(5s);
   declare(1, "4 four");
   const std::uint16_t leader = *cluster.leader();
-  CHECK(confirmedVersion(cluster.say(leader, ConfirmDocument{1})) == 4U);
+  CHECK(confirmedVersion(cluster.sendAsGateway(leader, ConfirmDocument{1})) == 4U);
   const std::uint16_t other = leader == 1 ? 2 : 1;
-  CHECK(!confirmedVersion(cluster.say(other, ConfirmDocument{2})));
-  cluster.cut(leader);
-  CHECK(!confirmedVersion(cluster.say(leader, ConfirmDocument{3}, 200ms)));
+  CHECK(!confirmedVersion(cluster.sendAsGateway(other, ConfirmDocument{2})));
+  cluster.partition(leader);
+  CHECK(!confirmedVersion(cluster.sendAsGateway(leader, ConfirmDocument{3}, 200ms)));
 }
 
 /// The query arrives before the resumed server learns that another one leads.
@@ -324,6 +324,6 @@
   cluster.suspend(former);
   cluster.run(3s);
   declare(former == 1 ? 2 : 1, "2 two");
-  cluster.wake(former);
-  CHECK(confirmedVersion(cluster.say(former, ConfirmDocument{1})).value_or(2) == 2);
+  cluster.resume(former);
+  CHECK(confirmedVersion(cluster.sendAsGateway(former, ConfirmDocument{1})).value_or(2) == 2);
 }
--- a/test/registry/worker_incarnations_test.cpp
+++ b/test/registry/worker_incarnations_test.cpp
@@ -9,19 +9,19 @@
 using namespace walnut::registry::testing;
 
 TEST_GROUP_BASE(WorkerLivesTest, LeaderDutiesKit) {
-  static constexpr std::uint64_t kFirstBorn = 1000;
-  static constexpr std::uint64_t kSecondBorn = 2000;
+  static constexpr std::uint64_t kFirstStart = 1000;
+  static constexpr std::uint64_t kSecondStart = 2000;
 
-  static WorkerRecord life(std::uint64_t born) {
-    WorkerRecord record{workerIdOf("w", born), "svc", {"10.0.2.1", 80}, {}, 4, false};
+  static WorkerRecord incarnation(std::uint64_t startMillis) {
+    WorkerRecord record{workerIdOf("w", startMillis), "svc", {"10.0.2.1", 80}, {}, 4, false};
     record.name = "w";
-    record.bornMillis = born;
+    record.bornMillis = startMillis;
     return record;
   }
-  static Heartbeat beat(std::uint64_t born, std::uint64_t sequence,
-                        std::initializer_list<const char*> models = {}) {
+  static Heartbeat makeHeartbeat(std::uint64_t startMillis, std::uint64_t sequence,
+                                 std::initializer_list<const char*> models = {}) {
     Heartbeat heartbeat;
-    heartbeat.worker = life(born);
+    heartbeat.worker = incarnation(startMillis);
     heartbeat.sequence = sequence;
     heartbeat.holdingsKnown = true;
     for (const char* model : models) {
@@ -30,7 +30,7 @@
     return heartbeat;
   }
   /// Delivers the heartbeat, and commits the worker's record if that is required.
-  bool hear(const Heartbeat& heartbeat) {
+  bool deliver(const Heartbeat& heartbeat) {
     const bool stores = duties->heartbeat(heartbeat, now);
     if (stores) {
       commit(StoreWorker{heartbeat.worker});
@@ -42,101 +42,101 @@
 
 TEST(WorkerLivesTest, aNewLifeIsHeardAtOnceThoughItsCountStartsAnew) {
   lead();
-  CHECK_TRUE(hear(beat(kFirstBorn, 50, {"a"})));
-  CHECK_TRUE(hear(beat(kSecondBorn, 1)));
-  CHECK(present()->id == workerIdOf("w", kSecondBorn));
-  CHECK(state.wasForgotten(workerIdOf("w", kFirstBorn)));
+  CHECK_TRUE(deliver(makeHeartbeat(kFirstStart, 50, {"a"})));
+  CHECK_TRUE(deliver(makeHeartbeat(kSecondStart, 1)));
+  CHECK(present()->id == workerIdOf("w", kSecondStart));
+  CHECK(state.wasForgotten(workerIdOf("w", kFirstStart)));
 }
 
 TEST(WorkerLivesTest, aNewLifeMayHaveAnotherAddress) {
   lead();
-  hear(beat(kFirstBorn, 50));
-  Heartbeat next = beat(kSecondBorn, 1);
+  deliver(makeHeartbeat(kFirstStart, 50));
+  Heartbeat next = makeHeartbeat(kSecondStart, 1);
   next.worker.endpoint.port = 81;
-  CHECK_TRUE(hear(next));
+  CHECK_TRUE(deliver(next));
   CHECK_EQUAL(81, present()->endpoint.port);
   CHECK_EQUAL(3, state.workers().size());
 }
 
 TEST(WorkerLivesTest, aLateHeartbeatOfTheFormerLifeChangesNothing) {
   lead();
-  hear(beat(kFirstBorn, 50, {"a"}));
-  hear(beat(kSecondBorn, 1));
-  CHECK_FALSE(hear(beat(kFirstBorn, 51, {"a"})));
-  CHECK_FALSE(hear(beat(kFirstBorn, 52, {"a"})));
-  CHECK(present()->id == workerIdOf("w", kSecondBorn));
+  deliver(makeHeartbeat(kFirstStart, 50, {"a"}));
+  deliver(makeHeartbeat(kSecondStart, 1));
+  CHECK_FALSE(deliver(makeHeartbeat(kFirstStart, 51, {"a"})));
+  CHECK_FALSE(deliver(makeHeartbeat(kFirstStart, 52, {"a"})));
+  CHECK(present()->id == workerIdOf("w", kSecondStart));
 }
 
 /// The new leader had no contact with either incarnation.
 TEST(WorkerLivesTest, aNewLeaderIsNotTakenInByALateHeartbeatEither) {
-  state.apply(StoreWorker{life(kSecondBorn)});
+  state.apply(StoreWorker{incarnation(kSecondStart)});
   lead();
-  CHECK_FALSE(hear(beat(kFirstBorn, 51, {"a"})));
-  CHECK(present()->id == workerIdOf("w", kSecondBorn));
+  CHECK_FALSE(deliver(makeHeartbeat(kFirstStart, 51, {"a"})));
+  CHECK(present()->id == workerIdOf("w", kSecondStart));
 }
 
 /// Two proposals may be committed in a different order than they were made.
 TEST(WorkerLivesTest, anEarlierLifeThatIsCommittedLaterIsNotAdded) {
-  state.apply(StoreWorker{life(kSecondBorn)});
-  state.apply(StoreWorker{life(kFirstBorn)});
-  CHECK(present()->id == workerIdOf("w", kSecondBorn));
-  CHECK_FALSE(state.wasForgotten(workerIdOf("w", kSecondBorn)));
+  state.apply(StoreWorker{incarnation(kSecondStart)});
+  state.apply(StoreWorker{incarnation(kFirstStart)});
+  CHECK(present()->id == workerIdOf("w", kSecondStart));
+  CHECK_FALSE(state.wasForgotten(workerIdOf("w", kSecondStart)));
 }
 
 TEST(WorkerLivesTest, aWorkerWhoseClockWasSetBackIsHeardOnceTheOtherLifeIsSilent) {
   lead();
-  hear(beat(kSecondBorn, 50));
+  deliver(makeHeartbeat(kSecondStart, 50));
   run(6s);
-  CHECK_FALSE(hear(beat(kFirstBorn, 1)));
+  CHECK_FALSE(deliver(makeHeartbeat(kFirstStart, 1)));
   run(100ms);
-  CHECK_TRUE(hear(beat(kFirstBorn, 2)));
-  CHECK(present()->id == workerIdOf("w", kFirstBorn));
+  CHECK_TRUE(deliver(makeHeartbeat(kFirstStart, 2)));
+  CHECK(present()->id == workerIdOf("w", kFirstStart));
 }
 
 TEST(WorkerLivesTest, aNewLifeHoldsNothingOfBefore) {
   lead();
-  hear(beat(kFirstBorn, 50, {"a"}));
+  deliver(makeHeartbeat(kFirstStart, 50, {"a"}));
   run(1s);
-  CHECK(state.findHoldings(workerIdOf("w", kFirstBorn)) != nullptr);
-  hear(beat(kSecondBorn, 1));
+  CHECK(state.findHoldings(workerIdOf("w", kFirstStart)) != nullptr);
+  deliver(makeHeartbeat(kSecondStart, 1));
   run(1s);
-  CHECK(state.findHoldings(workerIdOf("w", kFirstBorn)) == nullptr);
-  const std::vector<HeldModel>* held = state.findHoldings(workerIdOf("w", kSecondBorn));
+  CHECK(state.findHoldings(workerIdOf("w", kFirstStart)) == nullptr);
+  const std::vector<HeldModel>* held = state.findHoldings(workerIdOf("w", kSecondStart));
   CHECK(held == nullptr || held->empty());
 }
 
 TEST(WorkerLivesTest, whoOrderedTheFormerLifeIsBoundAsBefore) {
-  state.apply(StoreWorker{life(kFirstBorn)});
-  state.apply(StoreOrderedWorkers{kFormer, 1, 1, {workerIdOf("w", kFirstBorn)}});
-  state.apply(StoreWorker{life(kSecondBorn)});
-  CHECK(state.lastOrderedBy(workerIdOf("w", kSecondBorn)) == kFormer);
+  state.apply(StoreWorker{incarnation(kFirstStart)});
+  state.apply(StoreOrderedWorkers{kFormer, 1, 1, {workerIdOf("w", kFirstStart)}});
+  state.apply(StoreWorker{incarnation(kSecondStart)});
+  CHECK(state.lastOrderedBy(workerIdOf("w", kSecondStart)) == kFormer);
   OrderTurns times{base::TimePoint(1s)};
-  times.ordered({workerIdOf("w", kFirstBorn)}, now);
-  const base::TimePoint before = times.allowedAt(workerIdOf("w", kFirstBorn), now + 10s, kLease);
-  times.succeeded(workerIdOf("w", kFirstBorn), workerIdOf("w", kSecondBorn));
-  CHECK(times.allowedAt(workerIdOf("w", kSecondBorn), now + 10s, kLease) == before);
+  times.ordered({workerIdOf("w", kFirstStart)}, now);
+  const base::TimePoint before = times.allowedAt(workerIdOf("w", kFirstStart), now + 10s, kLease);
+  times.succeeded(workerIdOf("w", kFirstStart), workerIdOf("w", kSecondStart));
+  CHECK(times.allowedAt(workerIdOf("w", kSecondStart), now + 10s, kLease) == before);
 }
 
 /// Three incarnations of one worker that end under one request count as three crashes.
 TEST(WorkerLivesTest, eachLifeThatEndsIsACrashOfItsOwn) {
   const RequestDigest request{};
   RequestCrashLedger ledger;
-  for (const std::uint64_t born : {kFirstBorn, kSecondBorn, kSecondBorn + 1}) {
-    ledger.add(workerIdOf("w", born), {request}, {});
+  for (const std::uint64_t startMillis : {kFirstStart, kSecondStart, kSecondStart + 1}) {
+    ledger.add(workerIdOf("w", startMillis), {request}, {});
   }
   CHECK_EQUAL(1, ledger.guilty().count(request));
 }
 
 TEST(WorkerLivesTest, aReportOfAnotherLifeIsNotTaken) {
   lead();
-  hear(beat(kSecondBorn, 1));
+  deliver(makeHeartbeat(kSecondStart, 1));
   WorkerReport report;
-  report.bornMillis = kFirstBorn;
+  report.bornMillis = kFirstStart;
   report.orderCount = 7;
   report.holdings.models.push_back({"a", 1, {}});
-  duties->reportFinished({workerIdOf("w", kSecondBorn), report}, now);
+  duties->reportFinished({workerIdOf("w", kSecondStart), report}, now);
   run(1s);
-  const std::vector<HeldModel>* held = state.findHoldings(workerIdOf("w", kSecondBorn));
+  const std::vector<HeldModel>* held = state.findHoldings(workerIdOf("w", kSecondStart));
   CHECK(held == nullptr || held->empty());
 }
 
@@ -145,22 +145,22 @@
   ViewCursor cursor;
   ViewUpdate view;
   view.complete = true;
-  view.changed.push_back({life(kSecondBorn)});
-  const ViewUpdate told = decoder.decode(encoder.encode(view, cursor)).value();
-  CHECK(told.changed.at(0).record == life(kSecondBorn));
-  STRCMP_EQUAL("w", told.changed.at(0).record.calledName().c_str());
+  view.changed.push_back({incarnation(kSecondStart)});
+  const ViewUpdate decoded = decoder.decode(encoder.encode(view, cursor)).value();
+  CHECK(decoded.changed.at(0).record == incarnation(kSecondStart));
+  STRCMP_EQUAL("w", decoded.changed.at(0).record.calledName().c_str());
 }
 
 /// A foreign sender must not move a worker out of its service.
 TEST(WorkerLivesTest, aHeartbeatOfAnUnknownServiceHarmsNobody) {
   lead();
-  hear(beat(kFirstBorn, 1));
-  Heartbeat foreign = beat(kFirstBorn, 2);
+  deliver(makeHeartbeat(kFirstStart, 1));
+  Heartbeat foreign = makeHeartbeat(kFirstStart, 2);
   foreign.worker.service = "other";
-  CHECK_FALSE(hear(foreign));
+  CHECK_FALSE(deliver(foreign));
   STRCMP_EQUAL("svc", present()->service.c_str());
-  foreign.worker = life(kSecondBorn);
+  foreign.worker = incarnation(kSecondStart);
   foreign.worker.service = "other";
-  CHECK_FALSE(hear(foreign));
-  CHECK(present()->id == workerIdOf("w", kFirstBorn));
+  CHECK_FALSE(deliver(foreign));
+  CHECK(present()->id == workerIdOf("w", kFirstStart));
 }
--- a/test/registry/zone_evacuation_test.cpp
+++ b/test/registry/zone_evacuation_test.cpp
@@ -35,7 +35,7 @@
     CHECK_TRUE(cluster.callUntilDone(port, change, 20s));
   }
   /// @return true if the zone's worker is out of service in the view sent to a new gateway.
-  bool toldOutOfService() {
+  bool isPublishedOutOfService() {
     const std::uint16_t leader = *cluster.leader();
     ViewDecoder decoder;
     bool leaving = false;
@@ -61,9 +61,9 @@
   registerWorker();
   for (std::uint16_t port = 1; port <= 5; ++port) {
     order(port, kBegin);
-    CHECK_TRUE(toldOutOfService());
+    CHECK_TRUE(isPublishedOutOfService());
     order(static_cast<std::uint16_t>(port % 5 + 1), kEnd);
-    CHECK_FALSE(toldOutOfService());
+    CHECK_FALSE(isPublishedOutOfService());
   }
 }
 
@@ -110,7 +110,7 @@
     cluster.start(port, lost ? port + 100U : port, {}, kSeeds);
   }
   cluster.run(8s);
-  CHECK_TRUE(toldOutOfService());
+  CHECK_TRUE(isPublishedOutOfService());
 }
 
 /// A partitioned server forwards its call only after the evacuation of the zone has ended.
@@ -120,8 +120,8 @@
   const std::uint16_t leader = *cluster.leader();
   order(leader, kBegin);
   order(leader, kEnd);
-  cluster.say(leader, ForwardedCall{1, kBegin});
-  CHECK_FALSE(toldOutOfService());
+  cluster.sendAsGateway(leader, ForwardedCall{1, kBegin});
+  CHECK_FALSE(isPublishedOutOfService());
 }
 
 TEST(ZoneEvacuationClusterTest, whatIsBasedOnAnEarlierStateIsNotAcknowledged) {
@@ -129,7 +129,7 @@
   const std::uint16_t leader = *cluster.leader();
   order(leader, kBegin);
   order(leader, kEnd);
-  const std::vector<MessageBody> answers = cluster.say(leader, ForwardedCall{1, kBegin});
+  const std::vector<MessageBody> answers = cluster.sendAsGateway(leader, ForwardedCall{1, kBegin});
   CHECK_EQUAL(1, answers.size());
   const auto* answer = std::get_if<ForwardedAnswer>(&answers.front());
   CHECK_TRUE(answer != nullptr && answer->answer.status == ControlStatus::unavailable);
@@ -158,7 +158,7 @@
 duties->stateChanged(now);
 }
 /// @return the workers in the views that were sent, mapped to true if out of service.
-std::map<WorkerId, bool> told() {
+std::map<WorkerId, bool> publishedWorkers() {
   std::map<WorkerId, bool> leaving;
   for (const RegistryAction& action : std::exchange(actions, {})) {
     const auto* sent = std::get_if<control::SendToConnection>(&action);
@@ -187,15 +187,15 @@
   lead();
   duties->subscribe(kGateway, {});
   run(100ms);
-  CHECK_FALSE(told().at({"w1"}));
+  CHECK_FALSE(publishedWorkers().at({"w1"}));
   evacuate(true);
   run(20ms);
-  const std::map<WorkerId, bool> evacuated = told();
+  const std::map<WorkerId, bool> evacuated = publishedWorkers();
   CHECK_TRUE(evacuated.at({"w1"}));
   CHECK_EQUAL(0, evacuated.count({"w2"}));
   evacuate(false);
   run(20ms);
-  CHECK_FALSE(told().at({"w1"}));
+  CHECK_FALSE(publishedWorkers().at({"w1"}));
 }
 
 TEST(ZoneEvacuationDutiesTest, aWorkerThatRegistersLaterIsOutOfServiceToo) {
@@ -205,7 +205,7 @@
   state.apply(StoreWorker{{{"w3"}, "svc", {"10.0.1.1", 3}, {"zone-a"}, 4, false}});
   duties->stateChanged(now);
   run(100ms);
-  CHECK_TRUE(told().at({"w3"}));
+  CHECK_TRUE(publishedWorkers().at({"w3"}));
 }
 
 TEST(ZoneEvacuationDutiesTest, aLeavingWorkerDoesNotComeBackWithItsZone) {
@@ -218,7 +218,7 @@
   evacuate(true);
   evacuate(false);
   run(100ms);
-  CHECK_TRUE(told().at({"w1"}));
+  CHECK_TRUE(publishedWorkers().at({"w1"}));
 }
 
 TEST(ZoneEvacuationDutiesTest, modelsOfAnEvacuatedZoneAreLoadedElsewhere) {
