--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -76,7 +76,7 @@
     return false;
   }
   noteChanged(id);
-  recordContact(id, status, wasSilent, now);
+  handleContact(id, status, wasSilent, now);
   logEndedOrder(id, status, now);
   planSoon_ = true;
   const WorkerRecord* held = state_.findWorker(id);
@@ -103,12 +103,12 @@
     if (!status.takeContact(worker, now)) {
       request.workers.push_back(worker.worker);
     }
-    recordContact(worker.worker, status, wasSilent, now);
+    handleContact(worker.worker, status, wasSilent, now);
   }
   return request;
 }
 
-void LeaderDuties::recordContact(const WorkerId& id, WorkerStatus& status, bool wasSilent,
+void LeaderDuties::handleContact(const WorkerId& id, WorkerStatus& status, bool wasSilent,
                                  base::TimePoint now) {
   crashes_.recordContact(id);
   if (wasSilent && !status.silent) {
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -105,7 +105,7 @@
   void noteChanged(const WorkerId& id);
   void detectSuspension(base::TimePoint now);
   void checkOverdueWorkers(base::TimePoint now);
-  void recordContact(const WorkerId& id, WorkerStatus& status, bool wasSilent, base::TimePoint now);
+  void handleContact(const WorkerId& id, WorkerStatus& status, bool wasSilent, base::TimePoint now);
   void checkSilence(const WorkerId& id, WorkerStatus& status, base::TimePoint now);
   void scheduleSilenceCheck(const WorkerId& id, WorkerStatus& status, base::TimePoint at);
   base::Duration heartbeatTime(double count) const;
