--- a/src/registry/call_table.h
+++ b/src/registry/call_table.h
@@ -30,8 +30,8 @@
   bool isHeartbeat() const { return std::holds_alternative<ReportAlive>(call); }
 };
 
-/// Table of waiting calls, numbered by arrival. Each query takes time in proportion to the number
-/// of calls that it returns.
+/// Table of waiting calls, numbered by arrival. Each operation takes time in proportion to the
+/// number of calls that it concerns.
 class CallTable {
  public:
   std::uint64_t add(WaitingCall call);
@@ -46,7 +46,7 @@
   /// @param mostWaiting largest number of handed-over heartbeats without an answer; the rest wait.
   std::vector<std::uint64_t> handOver(base::ServerId leader, std::size_t maxCalls,
                                       std::size_t maxWaiting);
-  /// @return true if `handOver` the same leader would hand over more calls now.
+  /// @return true if `handOver` to the same leader would return more calls now.
   bool hasMore(std::size_t maxWaiting) const {
     return !others_.empty() || (!heartbeats_.empty() && handedHeartbeats_ < maxWaiting);
   }
--- a/src/registry/view_codec.cpp
+++ b/src/registry/view_codec.cpp
@@ -318,8 +318,8 @@
     server.port = reader.number<std::uint16_t>();
   }
   if (!reader.finished()) {
-    return malformed(reader.failed() ? "truncated, or a name that was not told"
-                                     : "bytes left over");
+    return malformed(reader.failed() ? "truncated, or refers to an unknown name"
+                                     : "trailing bytes after the view");
   }
   return view;
 }
