--- a/include/walnut/registry/feature_level.h
+++ b/include/walnut/registry/feature_level.h
@@ -13,7 +13,7 @@
 namespace feature {
 /// EvacuateZone, StoreZoneEvacuation.
 inline constexpr std::uint32_t kZoneEvacuation = 1;
-/// HeartbeatBatch, HeartbeatsWanted.
+/// HeartbeatBatch, HeartbeatRequest.
 inline constexpr std::uint32_t kHeartbeatBatches = 2;
 /// LimitReport, ShareRequest, ShareGrant; limits of workers in a PackedView.
 inline constexpr std::uint32_t kWorkerLimits = 3;
--- a/src/registry/call_table.h
+++ b/src/registry/call_table.h
@@ -42,8 +42,8 @@
   /// Hands calls to a leader that has not got them yet: first all calls other than heartbeats, then
   /// the newest heartbeats. The senders of the oldest heartbeats are close to their time-outs, and
   /// would all be answered too late.
-  /// @param most largest number of calls to hand over.
-  /// @param mostWaiting largest number of handed-over heartbeats without an answer; the rest wait.
+  /// @param maxCalls largest number of calls to hand over.
+  /// @param maxWaiting largest number of handed-over heartbeats without an answer; the rest wait.
   std::vector<std::uint64_t> handOver(base::ServerId leader, std::size_t maxCalls,
                                       std::size_t maxWaiting);
   /// @return true if `handOver` to the same leader would return more calls now.
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -39,7 +39,7 @@
  public:
   /// @param turns times at which workers were last ordered; maintained by the owner.
   /// @param registrations registration times of workers; maintained by the owner; null: unknown.
-  /// @param lastTurnAt when this process last saw another server take over the order lease.
+  /// @param lastTakeoverAt when this process last saw another server take over the order lease.
   LeaderDuties(const RegistryOptions& options, DocumentCache& documents, const CellState& state,
                consensus::Term term, base::ServerId self, runtime::EventLog& log,
                base::TimePoint now, const OrderTurns& turns,
@@ -239,7 +239,7 @@
   std::uint64_t zoneChanges_ = 0;    ///< Count of CellState's zone changes, as last processed.
   /// @}
   /// When each worker is next checked for silence; an entry is valid only if it equals the
-  /// `silenceCheckAt` of the worker's status.
+  /// `nextSilenceCheck` of the worker's status.
   std::multimap<base::TimePoint, WorkerId> silenceChecks_;
   bool workersProcessed_ = false;  ///< All workers present at the start have been processed.
   bool planSoon_ = true;
--- a/src/registry/view_publisher.h
+++ b/src/registry/view_publisher.h
@@ -51,7 +51,7 @@
                      base::TimePoint now);
 
   /// @param plain true if the worker belongs to a plain service, all of whose workers are equal.
-  /// @param mostGateways how many gateways may send requests to it; the others see it as leaving.
+  /// @param maxGateways how many gateways may send requests to it; the others see it as leaving.
   /// While gateways follow only some workers, a limited worker gets requests from none.
   void setWorker(const WorkerView& view, bool plain = false,
                  std::optional<std::size_t> maxGateways = std::nullopt);
--- a/test/registry/membership_policy_test.cpp
+++ b/test/registry/membership_policy_test.cpp
@@ -1,4 +1,4 @@
-/// Tests of CellKeeper: which membership change is due.
+/// Tests of MembershipPolicy: which membership change is due.
 
 #include "registry/membership_policy.h"
 
