--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -50,7 +50,7 @@
       orderTurns_(now),
       recoveredIndex_(raft_->status().lastIndex),
       startedAt_(now),
-      leaderHeardAt_(now) {}
+      lastLeaderContact_(now) {}
 
 void RegistryImpl::step(base::TimePoint now, const RegistryInput& input) {
   now_ = std::max(now_, now);
@@ -64,8 +64,8 @@
   RegistryOutputs outputs;
   outputs.persist = std::move(raftOutputs.persist);
   for (consensus::Message& message : raftOutputs.messages) {
-    // A server that is being admitted answers a leader that it does not know as a member yet: that
-    // goes over the connection which the leader opened.
+    // A server that is being admitted answers a leader that is not in its membership yet. Such an
+    // answer has no endpoint and goes over the connection that the leader opened.
     const base::ServerId to = message.to;
     const base::Endpoint endpoint = peerEndpointOf(to).value_or(base::Endpoint{});
     actions_.emplace_back(control::SendToServer{to, endpoint, std::move(message)});
@@ -73,7 +73,7 @@
   if (raftOutputs.installed) {
     const auto restored = state_.restore(raftOutputs.installed->data);
     if (restored.has_error()) {
-      noteUnreadable(raftOutputs.installed->lastIndex, restored.error());
+      setUnreadable(raftOutputs.installed->lastIndex, restored.error());
     }
     appliedIndex_ = raftOutputs.installed->lastIndex;
     bytesSinceSnapshot_ = 0;
@@ -84,13 +84,13 @@
     return {{}, {}, unreadable_};
   }
   followLeadership();
-  runDuties();
+  runTasks();
   outputs.actions = std::exchange(actions_, {});
   return outputs;
 }
 
 base::TimePoint RegistryImpl::nextWakeup() const {
-  if (callsLeft_) {
+  if (callsRemaining_) {
     return now_;
   }
   base::TimePoint next = std::min(raft_->nextWakeup(), calls_.nextDeadline());
@@ -98,7 +98,7 @@
     next = std::min({next, leading_->nextWakeup(), confirmer_.nextRound()});
   } else {
     next = std::min(next, relay_.nextBatch());
-    next = std::min(next, std::max(nextJoinAt_, leaderHeardAt_ + options_.joinAfterSilence));
+    next = std::min(next, std::max(nextJoinAt_, lastLeaderContact_ + options_.joinAfterSilence));
   }
   return next;
 }
@@ -158,13 +158,13 @@
 // Messages
 
 void RegistryImpl::receive(protocol::ConnectionId /*from*/, const consensus::Message& message) {
-  if (keeper_) {
-    keeper_->heard(message.from, now_);
+  if (membershipPolicy_) {
+    membershipPolicy_->recordContact(message.from, now_);
   }
   raft_->receive(now_, message);
   const consensus::RaftStatus status = raft_->status();
   if (status.leader == message.from && status.leader != base::ServerId{}) {
-    leaderHeardAt_ = now_;
+    lastLeaderContact_ = now_;
   }
 }
 
@@ -194,7 +194,7 @@
                                std::to_string(state_.featureLevel())},
                 {"calls", std::uint64_t{1}}});
   } else if (leading_ != nullptr) {
-    keeper_->requested(message.member, status.membership, now_);
+    membershipPolicy_->addJoinRequest(message.member, status.membership, now_);
   } else if (const auto leader = peerEndpointOf(status.leader)) {
     actions_.emplace_back(control::SendToServer{status.leader, *leader, wrap(message)});
   }
@@ -211,10 +211,10 @@
   }
 }
 
-/// Only the leader tells gateways anything: what another server has applied may be older than what
-/// was acknowledged, and after a restart it is.
+/// Only the leader serves gateways: the state that another server has applied may be older than
+/// what was acknowledged, and it is older after a restart.
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const Subscribe& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     const auto found = gatewayPeers_.find(from);
     const Peer gateway = found == gatewayPeers_.end() ? Peer{} : found->second;
     leading_->subscribe(from, message, gateway.zone, gateway.featureLevel);
@@ -225,65 +225,65 @@
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const DocumentPartTaken& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->documentPartTaken(from, message);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const ConfirmDocument& message) {
-  if (leadingActively()) {
-    confirmer_.asked(from, message);
+  if (isActiveLeader()) {
+    confirmer_.addQuery(from, message);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const QuotaRequest& message) {
-  if (leadingActively() && raft_->leaseValid(now_)) {
-    leading_->quotaAsked(from, message, now_);
+  if (isActiveLeader() && raft_->leaseValid(now_)) {
+    leading_->quotaRequested(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const LimitReport& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->limitsReported(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const ShareRequest& message) {
-  if (leadingActively() && raft_->leaseValid(now_)) {
+  if (isActiveLeader() && raft_->leaseValid(now_)) {
     leading_->sharesAsked(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const HeartbeatBatch& message) {
-  if (!leadingActively()) {
+  if (!isActiveLeader()) {
     return;
   }
-  HeartbeatsWanted wanted = leading_->heartbeats(message, now_);
-  if (!wanted.workers.empty()) {
-    actions_.emplace_back(control::SendToConnection{from, wrap(std::move(wanted))});
+  HeartbeatRequest request = leading_->heartbeats(message, now_);
+  if (!request.workers.empty()) {
+    actions_.emplace_back(control::SendToConnection{from, wrap(std::move(request))});
   }
 }
 
-void RegistryImpl::receiveBody(protocol::ConnectionId /*from*/, const HeartbeatsWanted& message) {
-  relay_.wanted(message);
+void RegistryImpl::receiveBody(protocol::ConnectionId /*from*/, const HeartbeatRequest& message) {
+  relay_.requestFull(message);
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const DemandUpdate& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->demand(from, message, now_);
   }
 }
 
 void RegistryImpl::receiveBody(protocol::ConnectionId /*from*/, const CutReport& message) {
-  if (leadingActively()) {
+  if (isActiveLeader()) {
     leading_->cutsReported(message, now_);
   }
 }
 
-// Duties
+// Periodic tasks
 
-bool RegistryImpl::durableBeyondLosses() const {
-  return majorityOutlivesLosses(raft_->status().membership, options_.tolerableLosses);
+bool RegistryImpl::toleratesLosses() const {
+  return majorityExceedsLosses(raft_->status().membership, options_.tolerableLosses);
 }
 
 void RegistryImpl::followLeadership() {
@@ -306,9 +306,10 @@
 
 void RegistryImpl::beginLeading(const consensus::RaftStatus& status) {
   activeIndex_ = status.lastIndex;
-  keeper_.emplace(CellKeeperOptions{options_.tolerableLosses}, now_);
-  leading_ = std::make_unique<LeaderDuties>(options_, documents_, state_, status.term, status.self,
-                                            log_, now_, orderTurns_, lastTurnAt_, &registrations_);
+  membershipPolicy_.emplace(MembershipPolicyOptions{options_.tolerableLosses}, now_);
+  leading_ =
+      std::make_unique<LeaderDuties>(options_, documents_, state_, status.term, status.self, log_,
+                                     now_, orderTurns_, lastTakeoverAt_, &registrations_);
   pendingDocumentVersion_ = 0;
   proposedLevel_ = 0;
 }
@@ -320,23 +321,23 @@
         gateway, wrap(NotLeading{serverEndpoints(), peerEndpointOf(status.leader)})});
   }
   leading_.reset();
-  keeper_.reset();
+  membershipPolicy_.reset();
   confirmer_ = {};
   callsByEntry_.clear();
   pendingWorkers_.clear();
   reads_.clear();
-  leaderHeardAt_ = now_;
+  lastLeaderContact_ = now_;
 }
 
-void RegistryImpl::runDuties() {
+void RegistryImpl::runTasks() {
   expireCalls();
   handOverCalls();
   answerReads();
   confirmDocuments();
   if (leading_ != nullptr) {
-    keepCell();
+    updateMembership();
     raiseFeatureLevel();
-    if (leadingActively()) {
+    if (isActiveLeader()) {
       leading_->run(now_, raft_->leaseValid(now_), serverEndpoints());
       for (const Command& command : leading_->takeCommands()) {
         (void)raft_->propose(now_, encodeCommand(command));
@@ -346,29 +347,28 @@
       }
     }
   } else {
-    askToJoin();
-    tellHeartbeats();
+    requestJoin();
+    sendHeartbeats();
   }
   takeSnapshotIfDue();
 }
 
-/// Gateways go by the answer on their own clocks: it is given only once a majority has confirmed,
-/// after the question, that no other server leads.
+/// Gateways trust the answer for some time by their own clocks. It is therefore sent only once a
+/// majority has confirmed, after the query arrived, that no other server leads.
 void RegistryImpl::confirmDocuments() {
-  if (!leadingActively()) {
+  if (!isActiveLeader()) {
     return;
   }
-  if (confirmer_.confirming()) {
+  if (confirmer_.isConfirming()) {
     const auto ready = raft_->readReady(confirmer_.token());
     if (ready.has_error()) {
       confirmer_ = {};
       return;
     }
     if (ready.value() && appliedIndex_ >= *ready.value()) {
-      for (const DocumentConfirmer::Question& question : confirmer_.takeConfirmed()) {
+      for (const DocumentConfirmer::Query& query : confirmer_.takeConfirmed()) {
         actions_.emplace_back(control::SendToConnection{
-            question.gateway,
-            wrap(DocumentConfirmed{question.sequence, state_.documentVersion()})});
+            query.gateway, wrap(DocumentConfirmed{query.sequence, state_.documentVersion()})});
       }
     }
   }
--- a/src/registry/view_publisher.cpp
+++ b/src/registry/view_publisher.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-/// Loads change all the time: a gateway is told of them this seldom, so that what they take does
-/// not grow with the square of a deployment.
+/// Least time between two updates of loads to a gateway, fixed and per worker. Loads change all the
+/// time; without it their traffic would grow with the square of the size of a deployment.
 constexpr base::Duration kLoadSpacing = std::chrono::milliseconds(20);
 constexpr base::Duration kLoadSpacingPerWorker = std::chrono::milliseconds(2);
 
-/// Of the count of gateways, that is told at once; the budget's share (gateway.cpp) covers less.
+/// Growth of the number of gateways that is published at once; smaller growth is covered by the
+/// share of the budget that gateways keep (gateway.cpp).
 constexpr double kUrgentGrowth = 1.3;
 
 }  // namespace
@@ -30,19 +31,19 @@
 }
 
 ViewPublisher::ViewPublisher(base::Duration interval)
-    : interval_(interval), completeUpdates_(kMostCompleteUpdates, kCompleteSpacing) {}
+    : interval_(interval), completeUpdates_(kMaxCompleteUpdates, kCompleteSpacing) {}
 
 void ViewPublisher::subscribe(protocol::ConnectionId id, const base::ZoneId& zone,
                               std::uint32_t featureLevel) {
   unsubscribe(id);
   gateways_[id].zone = zone;
-  gateways_[id].cursor.takesLimits = featureLevel >= feature::kWorkerLimits;
+  gateways_[id].cursor.acceptsLimits = featureLevel >= feature::kWorkerLimits;
   if (interest_) {
     incomplete_.insert(id);
     interest_->addGateway(id, zone);
     takeInterestChanges();
   }
-  followIfLarge();
+  switchToPartialViews();
 }
 
 void ViewPublisher::unsubscribe(protocol::ConnectionId id) {
@@ -52,7 +53,7 @@
   }
   dueAt_.erase({found->second.dueAt, id});
   incomplete_.erase(id);
-  withNews_.erase(id);
+  withChanges_.erase(id);
   gateways_.erase(found);
   if (interest_) {
     interest_->removeGateway(id);
@@ -60,12 +61,13 @@
 }
 
 WorkerView ViewPublisher::Worker::viewFor(protocol::ConnectionId gateway) const {
-  WorkerView told = view;
-  told.record.leaving = told.record.leaving || (onlyFor && onlyFor->count(gateway) == 0);
-  return told;
+  WorkerView visible = view;
+  visible.record.leaving =
+      visible.record.leaving || (allowedGateways && allowedGateways->count(gateway) == 0);
+  return visible;
 }
 
-/// Others for each worker.
+/// Chooses gateways by a hash of the worker's id, so that different workers get different ones.
 std::set<protocol::ConnectionId> ViewPublisher::chooseGateways(const WorkerId& worker,
                                                                std::size_t most) const {
   std::set<protocol::ConnectionId> chosen;
@@ -83,12 +85,12 @@
 }
 
 void ViewPublisher::setWorker(const WorkerView& view, bool plain,
-                              std::optional<std::size_t> mostGateways) {
+                              std::optional<std::size_t> maxGateways) {
   const auto [found, added] = workers_.try_emplace(view.record.id);
   Worker& worker = found->second;
-  const bool limited = worker.onlyFor.has_value();
+  const bool limited = worker.allowedGateways.has_value();
   const bool changed = added || worker.removed || !(worker.view == view) || worker.plain != plain ||
-                       limited != mostGateways.has_value();
+                       limited != maxGateways.has_value();
   if (!changed) {
     return;
   }
@@ -96,17 +98,17 @@
   worker.view = view;
   worker.plain = plain;
   worker.removed = false;
-  if (!mostGateways) {
-    worker.onlyFor.reset();
+  if (!maxGateways) {
+    worker.allowedGateways.reset();
   } else if (!limited) {
-    worker.onlyFor = chooseGateways(view.record.id, *mostGateways);
+    worker.allowedGateways = chooseGateways(view.record.id, *maxGateways);
   }
   if (interest_) {
     noteWorkerChanged(view.record.id);
     interest_->setWorker(worker.viewFor({}), plain);
     takeInterestChanges();
   }
-  followIfLarge();
+  switchToPartialViews();
 }
 
 void ViewPublisher::removeWorker(const WorkerId& id) {
@@ -139,12 +141,12 @@
     return now >= completeUpdates_.next();
   }
   return gateway.revision < revision_ || gateway.documentVersion < documentVersion ||
-         countGrew(gateway) || now >= gateway.lastSent + interval_;
+         gatewayCountGrew(gateway) || now >= gateway.lastSent + interval_;
 }
 
-/// A gateway that doesn't know of many others takes too much of what they share. Each new one is no
-/// news to all others: that would be as many updates as gateways squared.
-bool ViewPublisher::countGrew(const Gateway& gateway) const {
+/// A gateway that does not know of many others uses too large a part of the shared budget. But not
+/// each new gateway is published at once, as that would take gateways squared updates.
+bool ViewPublisher::gatewayCountGrew(const Gateway& gateway) const {
   return static_cast<double>(gateways_.size()) > kUrgentGrowth * gateway.gateways;
 }
 
@@ -222,8 +224,9 @@
     return;
   }
   for (const auto& [id, load] : loads_) {
-    const bool wanted = update.complete ? load.running > 0 : load.revision > gateway.loadRevision;
-    if (wanted) {
+    const bool isIncluded =
+        update.complete ? load.running > 0 : load.revision > gateway.loadRevision;
+    if (isIncluded) {
       update.loads.push_back({id, {}, load.running});
     }
   }
--- a/test/registry/leader_duties_test.cpp
+++ b/test/registry/leader_duties_test.cpp
@@ -1,4 +1,4 @@
-/// When a leader orders workers, and what it must know before.
+/// Tests of LeaderDuties: order lease, reports, failing workers, views and heartbeats.
 
 #include "registry/leader_duties_kit.h"
 
@@ -8,7 +8,7 @@
 
 TEST_GROUP_BASE(LeaderDutiesTest, LeaderDutiesKit){};
 
-TEST(LeaderDutiesTest, whereWorkersCheckFencesATurnBeginsOnceReportsCanTellOfTheFormerOrders) {
+TEST(LeaderDutiesTest, withFencingATakeoverWaitsUntilReportsCoverPreviousOrders) {
   lead();
   run(400ms);
   CHECK_TRUE(state.orderHolder() == kFormer);
@@ -16,7 +16,7 @@
   CHECK_TRUE(state.orderHolder() == kSelf);
 }
 
-TEST(LeaderDutiesTest, whereTheyDoNotAWorkerThatTheFormerHolderOrderedWaitsForItsLease) {
+TEST(LeaderDutiesTest, withoutFencingAWorkerWaitsForTheLeaseOfThePreviousHolder) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
@@ -29,7 +29,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, aWorkerThatNobodyOrderedLatelyIsOrderedAtOnce) {
+TEST(LeaderDutiesTest, aWorkerWithoutRecentOrdersIsOrderedAtOnce) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
@@ -43,7 +43,7 @@
   STRCMP_EQUAL("w2", ordered()[0].c_str());
 }
 
-TEST(LeaderDutiesTest, ordersThatThisServerDidNotSeeCountAsGivenWhenItStarted) {
+TEST(LeaderDutiesTest, ordersFromBeforeTheServerStartedCountAsSentAtItsStart) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
@@ -56,7 +56,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, whereFencesAreNotCheckedAnOrderIsInTheLogBeforeItIsSent) {
+TEST(LeaderDutiesTest, withoutFencingAnOrderIsInTheLogBeforeItIsSent) {
   options.ordersFenced = false;
   recordsOrders = false;
   lead();
@@ -66,13 +66,13 @@
   const base::ServerId last =
       state.lastOrderedBy({"w1"}) == kSelf ? kSelf : state.lastOrderedBy({"w2"});
   CHECK_TRUE(last == kSelf);
-  // The log took too long: the order is planned and recorded again.
+  // The log entry was committed too late: the order is planned and recorded again.
   recordsOrders = true;
   runAnswering(2s);
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, anOrderThatIsRecordedAfterTheLeaseOfLeadershipIsNotSent) {
+TEST(LeaderDutiesTest, anOrderRecordedAfterTheLeaderLeaseIsNotSent) {
   options.ordersFenced = false;
   leaseValid = false;
   lead();
@@ -81,7 +81,7 @@
   CHECK_EQUAL(0, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, aTurnThatFollowsAnotherChangeSoonWaitsForTheLease) {
+TEST(LeaderDutiesTest, aTakeoverSoonAfterAnotherOneWaitsForTheLease) {
   lead(now - 1s);
   run(kLease);
   CHECK_TRUE(state.orderHolder() == kFormer);
@@ -89,13 +89,13 @@
   CHECK_TRUE(state.orderHolder() == kSelf);
 }
 
-TEST(LeaderDutiesTest, aChangeThatIsLongerAgoThanTheLeaseDoesNotHoldATurnUp) {
+TEST(LeaderDutiesTest, aTakeoverOlderThanTheLeaseDoesNotDelayTheNextOne) {
   lead(now - 10s);
   run(700ms);
   CHECK_TRUE(state.orderHolder() == kSelf);
 }
 
-TEST(LeaderDutiesTest, allWorkersAreAskedForReportsBeforeAnyIsOrdered) {
+TEST(LeaderDutiesTest, reportsOfAllWorkersAreRequestedBeforeAnyIsOrdered) {
   lead();
   demandModel("a");
   run(800ms);
@@ -103,7 +103,7 @@
   CHECK_EQUAL(0, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, askingForReportsTakesNothingFromTheStoreRate) {
+TEST(LeaderDutiesTest, requestsForReportsDoNotUseTheStoreRate) {
   lead();
   demandModel("a");
   run(800ms);
@@ -112,7 +112,7 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-/// Guards against a first leader that loads as though another had used the store before it.
+/// Guards against a first leader that assumes loads of a previous leader and wastes the burst.
 TEST(LeaderDutiesTest, theFirstLeaderOfACellBeginsWithTheBurstOfTheStore) {
   state.apply(StoreOrderHolder{});
   lead();
@@ -128,8 +128,8 @@
   CHECK_EQUAL(1, count<SendOrder>());
 }
 
-/// Guards against the time in which nobody may order being lost to the store's rate.
-TEST(LeaderDutiesTest, theTimeWithoutOrdersBeforeATurnCountsForTheStoreRate) {
+/// Guards against losing the store's rate during the time in which no server may send orders.
+TEST(LeaderDutiesTest, theTimeBeforeATakeoverCountsForTheStoreRate) {
   lead(now - 1s);
   run(kLease);
   CHECK_TRUE(state.orderHolder() == kFormer);
@@ -138,7 +138,7 @@
   CHECK_EQUAL(2, count<SendOrder>());
 }
 
-TEST(LeaderDutiesTest, onceFormerOrdersAreOutOfDateAllWorkersAreRecordedAsItsOwn) {
+TEST(LeaderDutiesTest, allWorkersAreRecordedAsOrderedByTheLeaderOncePreviousOrdersExpire) {
   options.ordersFenced = false;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
   lead();
@@ -149,7 +149,7 @@
   CHECK_TRUE(state.lastOrderedBy({"w2"}) == kSelf);
 }
 
-TEST(LeaderDutiesTest, aServerThatLeadsAgainNeedNotWaitForItsOwnOrders) {
+TEST(LeaderDutiesTest, aServerThatLeadsAgainDoesNotWaitForItsOwnOrders) {
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kSelf, 1, 1, {{"w1"}, {"w2"}}});
@@ -162,7 +162,7 @@
 
 namespace {
 
-/// What three gateways saw of a worker: it failed all that they sent.
+/// Reports, for three gateways, that a worker failed all their requests.
 void reportFailures(LeaderDuties& duties, const char* worker, base::TimePoint now) {
   for (std::uint64_t gateway = 1; gateway <= 3; ++gateway) {
     DemandUpdate update;
@@ -173,8 +173,8 @@
 
 }  // namespace
 
-/// Its heartbeats say that it is well and that it holds the model.
-TEST(LeaderDutiesTest, aModelThatOnlyAFailingWorkerHoldsIsLoadedElsewhereOnceItIsWaitedFor) {
+/// The failing worker's heartbeats report that it is healthy and holds the model.
+TEST(LeaderDutiesTest, aModelHeldOnlyByAFailingWorkerIsLoadedElsewhereOnceRequestsWait) {
   lead();
   hold("w1", "a");
   runAnswering(1s);
@@ -187,7 +187,7 @@
   STRCMP_EQUAL("w2", ordered()[0].c_str());
 }
 
-TEST(LeaderDutiesTest, anAdapterThatOnlyAFailingWorkerHoldsIsLoadedElsewhere) {
+TEST(LeaderDutiesTest, anAdapterHeldOnlyByAFailingWorkerIsLoadedElsewhere) {
   lead();
   hold("w1", "a", {"a1"});
   hold("w2", "a");
@@ -207,12 +207,12 @@
   hold("w1", "a");
   duties->subscribe(kGateway, {});
   runAnswering(1s);
-  CHECK_FALSE(toldFailing({"w1"}));
+  CHECK_FALSE(publishedAsFailing({"w1"}));
   reportFailures(*duties, "w1", now);
   run(100ms);
-  CHECK_TRUE(toldFailing({"w1"}));
+  CHECK_TRUE(publishedAsFailing({"w1"}));
   run(5s);
-  CHECK_FALSE(toldFailing({"w1"}));
+  CHECK_FALSE(publishedAsFailing({"w1"}));
 }
 
 TEST(LeaderDutiesTest, aNewLeaderHoldsNobodyToFailUntilItHearsOfIt) {
@@ -222,10 +222,10 @@
   lead();
   duties->subscribe(kGateway, {});
   run(300ms);
-  CHECK_FALSE(toldFailing({"w1"}));
+  CHECK_FALSE(publishedAsFailing({"w1"}));
 }
 
-/// A leader that is cut off does not know what another one has acknowledged since.
+/// A partitioned leader does not know what another leader has acknowledged since.
 TEST(LeaderDutiesTest, withoutAValidLeaseGatewaysAreToldNothing) {
   lead();
   duties->subscribe(kGateway, {});
@@ -237,7 +237,7 @@
   CHECK_TRUE(count<control::SendToConnection>() >= 2);
 }
 
-TEST(LeaderDutiesTest, aGatewayIsToldTheViewBeforeTheDocument) {
+TEST(LeaderDutiesTest, aGatewayIsSentTheViewBeforeTheDocument) {
   lead();
   duties->subscribe(kGateway, {});
   duties->run(now, true, {});
@@ -252,8 +252,8 @@
   CHECK_TRUE(views == std::vector<bool>({true, false}));
 }
 
-/// Seen in the fleet's seed 11: parts that came before the first view were not taken, and as
-/// nothing acknowledged them, no more came.
+/// Guards against sending document parts before the first view: gateways don't take them, and
+/// without their acknowledgement no more parts are sent.
 TEST(LeaderDutiesTest, amongManyGatewaysEachIsToldTheViewBeforeTheDocument) {
   constexpr std::uint64_t kGateways = 40;
   lead();
@@ -277,8 +277,8 @@
   CHECK_EQUAL(kGateways, parts);
 }
 
-/// A heartbeat that a cut delayed arrives after its sender has crashed and a new incarnation has
-/// registered at the same address.
+/// A heartbeat delayed by a network partition arrives after its sender has crashed and a new
+/// incarnation has registered at the same address.
 TEST(LeaderDutiesTest, aLateHeartbeatOfAFormerIncarnationDoesNotEndThePresentOne) {
   lead();
   Heartbeat present;
@@ -292,7 +292,7 @@
   CHECK_FALSE(duties->heartbeat(former, now + 200ms));
 }
 
-TEST(LeaderDutiesTest, aNewIncarnationReplacesOneThatIsSilentAtOnce) {
+TEST(LeaderDutiesTest, aNewIncarnationReplacesAnUnresponsiveOneAtOnce) {
   lead();
   Heartbeat next;
   next.worker = *state.findWorker({"w1"});
@@ -301,7 +301,7 @@
   CHECK_TRUE(duties->heartbeat(next, now + 2 * options.heartbeatInterval));
 }
 
-TEST(LeaderDutiesTest, aNewIncarnationThatCallsAgainReplacesOneThatWasHeardLately) {
+TEST(LeaderDutiesTest, aNewIncarnationReplacesALiveOneWithItsSecondHeartbeat) {
   lead();
   Heartbeat next;
   next.worker = *state.findWorker({"w1"});
--- a/test/registry/view_interest_test.cpp
+++ b/test/registry/view_interest_test.cpp
@@ -1,5 +1,5 @@
-/// A fleet of thousands of workers and gateways, of which each gateway sees few requests: it hears
-/// of the workers that it has a use for, not of all.
+/// Tests of ViewInterest and of ViewPublisher in a fleet of thousands of workers and gateways, in
+/// which each gateway is sent only the workers that it needs.
 
 #include "registry/view_interest.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr protocol::ConnectionId kGateway{8};
-constexpr protocol::ConnectionId kOther{16};  ///< Of the same group.
+constexpr protocol::ConnectionId kOther{16};  ///< A gateway of the same group.
 
 std::string name(const char* prefix, std::size_t number) { return prefix + std::to_string(number); }
 
@@ -51,11 +51,11 @@
   }
 };
 
-TEST(ViewInterestTest, nobodyIsFollowedForAModelBeforeItIsAskedFor) {
+TEST(ViewInterestTest, noWorkerIsFollowedForAModelBeforeItIsRequested) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
   CHECK_EQUAL(0, interest.followedBy(kGateway).size());
-  interest.asked(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, true, now);
   CHECK_EQUAL(ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
@@ -63,17 +63,17 @@
   addWorkers(3, "a", "a");
   addWorkers(100, "b", "b");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, true, now);
   CHECK_EQUAL(3, followedIn(kGateway, "a"));
   CHECK_EQUAL(1, followedIn(kGateway, "b"));
 }
 
-TEST(ViewInterestTest, gatewaysOfOneGroupFollowTheSameAndOthersOthers) {
+TEST(ViewInterestTest, gatewaysFollowTheSameWorkersWithinAGroupOnly) {
   addWorkers(100, "a", "a");
   std::set<WorkerId> all;
   for (std::uint64_t gateway = 1; gateway <= 2 * ViewInterest::kGroups; ++gateway) {
     interest.addGateway({gateway}, {"a"});
-    interest.asked({gateway}, kModel, true, now);
+    interest.recordRequest({gateway}, kModel, true, now);
     const auto& followed = interest.followedBy({gateway});
     all.insert(followed.begin(), followed.end());
   }
@@ -81,31 +81,31 @@
   CHECK_EQUAL(ViewInterest::kGroups * ViewInterest::kModelWorkers, all.size());
 }
 
-TEST(ViewInterestTest, whoseRequestsWaitIsToldOfMore) {
+TEST(ViewInterestTest, aGatewayWithWaitingRequestsFollowsMoreWorkers) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, true, now);
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   CHECK_EQUAL(ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
-  interest.asked(kGateway, kModel, true, now);
+  interest.recordRequest(kGateway, kModel, true, now);
   CHECK_EQUAL(2 * ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
-TEST(ViewInterestTest, moreAreFollowedWhileTheyAreBusy) {
+TEST(ViewInterestTest, moreWorkersAreFollowedWhileTheyAreBusy) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   for (const WorkerId& id : interest.followedBy(kGateway)) {
     interest.setRunning(id, 2);
   }
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   CHECK_EQUAL(2 * ViewInterest::kModelWorkers, interest.followedBy(kGateway).size());
 }
 
-TEST(ViewInterestTest, whoTurnsSilentOrLosesTheModelIsReplaced) {
+TEST(ViewInterestTest, anUnresponsiveWorkerOrOneWithoutTheModelIsReplaced) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   const std::set<WorkerId> first = interest.followedBy(kGateway);
   WorkerView silent = worker(first.begin()->value, "a", {{"m", 1, {}}});
   silent.silent = true;
@@ -114,10 +114,10 @@
   CHECK_EQUAL(ViewInterest::kModelWorkers + 2, interest.followedBy(kGateway).size());
 }
 
-TEST(ViewInterestTest, aWorkerThatEndsIsReplacedAndTold) {
+TEST(ViewInterestTest, aRemovedWorkerIsReplacedAndReported) {
   addWorkers(100, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   (void)interest.takeChanges();
   const WorkerId ended = *interest.followedBy(kGateway).begin();
   interest.removeWorker(ended);
@@ -128,16 +128,16 @@
   CHECK_TRUE(changes.at(1).follows);
 }
 
-TEST(ViewInterestTest, whoWaitsForAnAdapterIsToldOnceAWorkerHasIt) {
+TEST(ViewInterestTest, aWorkerIsFollowedOnceItHasARequestedAdapter) {
   addWorkers(10, "a", "a");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, {"svc", "m", "a1"}, true, now);
+  interest.recordRequest(kGateway, {"svc", "m", "a1"}, true, now);
   CHECK_EQUAL(0, interest.followedBy(kGateway).size());
   interest.setWorker(worker("a7", "a", {{"m", 1, {"a1"}}}), false);
   CHECK_EQUAL(1, interest.followedBy(kGateway).count({"a7"}));
 }
 
-TEST(ViewInterestTest, workersOfAPlainServiceAreFollowedUnasked) {
+TEST(ViewInterestTest, workersOfAPlainServiceAreFollowedWithoutRequests) {
   interest.addGateway(kGateway, {"a"});
   for (std::size_t index = 0; index < 100; ++index) {
     interest.setWorker(worker(name("p", index), "a", {}), true);
@@ -147,11 +147,11 @@
   CHECK_EQUAL(ViewInterest::kPlainWorkers, interest.followedBy(kOther).size());
 }
 
-TEST(ViewInterestTest, anEvacuatedZoneIsReplacedByAnother) {
+TEST(ViewInterestTest, workersOfAnEvacuatedZoneAreReplacedByAnotherZone) {
   addWorkers(10, "a", "a");
   addWorkers(10, "b", "b");
   interest.addGateway(kGateway, {"a"});
-  interest.asked(kGateway, kModel, false, now);
+  interest.recordRequest(kGateway, kModel, false, now);
   for (std::size_t index = 0; index < 10; ++index) {
     WorkerView leaving = worker(name("a", index), "a", {{"m", 1, {}}});
     leaving.record.leaving = true;
@@ -160,7 +160,7 @@
   CHECK_EQUAL(ViewInterest::kModelWorkers, followedIn(kGateway, "b"));
 }
 
-TEST(ViewInterestTest, whatIsOfNoUseAnyMoreIsDropped) {
+TEST(ViewInterestTest, workersThatAreNoLongerNeededAreDropped) {
   interest.addGateway(kGateway, {"a"});
   constexpr std::size_t kModels = 200;
   for (std::size_t model = 0; model < kModels; ++model) {
@@ -170,10 +170,10 @@
     }
   }
   for (std::size_t model = 0; model < kModels; ++model) {
-    interest.asked(kGateway, {"svc", name("m", model), ""}, false, now);
+    interest.recordRequest(kGateway, {"svc", name("m", model), ""}, false, now);
     now += 1s;
   }
-  CHECK_TRUE(interest.followedBy(kGateway).size() <= ViewInterest::kMostFollowed + 4);
+  CHECK_TRUE(interest.followedBy(kGateway).size() <= ViewInterest::kMaxFollowed + 4);
   CHECK_EQUAL(1, interest.followedBy(kGateway).count({"w799"}));
 }
 
@@ -195,9 +195,9 @@
   std::vector<ViewPublisher::Update> updates(base::TimePoint now) {
     return publisher.takeUpdates(now, 1, 1, loads, {});
   }
-  /// A gateway asks for the model. @return one of the workers that it is told of.
-  WorkerId askFor(std::uint64_t gateway, base::TimePoint now) {
-    publisher.asked({gateway}, kModel, true, now);
+  /// Requests the model at a gateway. @return one of the workers that the gateway is sent.
+  WorkerId requestAt(std::uint64_t gateway, base::TimePoint now) {
+    publisher.recordRequest({gateway}, kModel, true, now);
     for (const auto& sent : updates(now)) {
       if (sent.gateway.value == gateway) {
         return sent.update.changed.front().record.id;
@@ -205,8 +205,8 @@
     }
     return {};
   }
-  /// All gateways get their first view. @return when that is done, and nothing else is due.
-  base::TimePoint tellAll() {
+  /// Sends all gateways their first view. @return the time when nothing else is due.
+  base::TimePoint sendAll() {
     base::TimePoint now = start;
     for (std::size_t round = 0; round < kGateways; ++round) {
       (void)updates(now);
@@ -218,46 +218,46 @@
 };
 
 TEST(LargeViewPublisherTest, aFirstViewIsSmall) {
-  CHECK_FALSE(publisher.tellsAll());
+  CHECK_FALSE(publisher.sendsAllWorkers());
   const auto sent = updates(start);
   CHECK_EQUAL(8, sent.size());
   CHECK_TRUE(sent.front().update.complete);
   CHECK_TRUE(sent.front().update.changed.empty());
 }
 
-TEST(LargeViewPublisherTest, whoAsksIsToldAtOnceAndNobodyElse) {
-  const base::TimePoint now = tellAll();
-  publisher.asked({5}, kModel, true, now);
+TEST(LargeViewPublisherTest, onlyTheRequestingGatewayIsSentAnUpdate) {
+  const base::TimePoint now = sendAll();
+  publisher.recordRequest({5}, kModel, true, now);
   const auto sent = updates(now + 1ms);
   CHECK_EQUAL(1, sent.size());
   CHECK_EQUAL(5, sent.front().gateway.value);
   CHECK_EQUAL(ViewInterest::kModelWorkers, sent.front().update.changed.size());
 }
 
-TEST(LargeViewPublisherTest, aChangeIsToldToThoseWhoFollowTheWorker) {
-  const base::TimePoint now = tellAll();
-  const WorkerId followed = askFor(5, now);
+TEST(LargeViewPublisherTest, aChangeIsSentToFollowersOfTheWorker) {
+  const base::TimePoint now = sendAll();
+  const WorkerId followed = requestAt(5, now);
   WorkerView changed = worker(followed.value, "a", {{"m", 1, {}}});
   changed.silent = true;
   publisher.setWorker(changed);
   publisher.setWorker(worker("w-new", "a", {{"other", 1, {}}}));
   const auto sent = updates(now + 1ms);
   CHECK_EQUAL(1, sent.size());
-  CHECK_EQUAL(2, sent.front().update.changed.size());  // And the one that replaces it.
+  CHECK_EQUAL(2, sent.front().update.changed.size());  // The worker and its replacement.
 }
 
-TEST(LargeViewPublisherTest, aWorkerThatEndedIsToldToThoseWhoFollowedIt) {
-  const base::TimePoint now = tellAll();
-  const WorkerId followed = askFor(5, now);
+TEST(LargeViewPublisherTest, aRemovalIsSentToFollowersOfTheWorker) {
+  const base::TimePoint now = sendAll();
+  const WorkerId followed = requestAt(5, now);
   publisher.removeWorker(followed);
   const auto sent = updates(now + 1ms);
   CHECK_EQUAL(1, sent.size());
   CHECK_EQUAL(1, sent.front().update.removed.size());
 }
 
-TEST(LargeViewPublisherTest, loadsOfFollowedWorkersGoWithTheNextUpdate) {
-  const base::TimePoint now = tellAll();
-  const WorkerId followed = askFor(5, now);
+TEST(LargeViewPublisherTest, loadsOfFollowedWorkersAreSentWithTheNextUpdate) {
+  const base::TimePoint now = sendAll();
+  const WorkerId followed = requestAt(5, now);
   loads = {{followed, "", 3}, {{"w-unknown"}, "", 1}};
   (void)updates(now + 1ms);
   base::TimePoint later = now + 2ms;
@@ -273,19 +273,19 @@
   CHECK_EQUAL(3, told);
 }
 
-TEST(LargeViewPublisherTest, eachGatewayHearsSomethingEachInterval) {
-  const base::TimePoint now = tellAll();
-  std::set<std::uint64_t> heard;
+TEST(LargeViewPublisherTest, eachGatewayIsSentAnUpdateEachInterval) {
+  const base::TimePoint now = sendAll();
+  std::set<std::uint64_t> contacted;
   for (base::TimePoint later = now; later <= now + 250ms; later += 5ms) {
     for (const auto& sent : updates(later)) {
-      heard.insert(sent.gateway.value);
+      contacted.insert(sent.gateway.value);
     }
   }
-  CHECK_EQUAL(kGateways, heard.size());
+  CHECK_EQUAL(kGateways, contacted.size());
 }
 
-TEST(LargeViewPublisherTest, aNewDocumentIsToldToAll) {
-  const base::TimePoint now = tellAll();
+TEST(LargeViewPublisherTest, aNewDocumentIsPublishedToAllGateways) {
+  const base::TimePoint now = sendAll();
   std::set<std::uint64_t> told;
   for (base::TimePoint later = now; later < now + 10ms; later += 1ms) {
     for (const auto& sent : publisher.takeUpdates(later, 1, 2, loads, {})) {
@@ -296,21 +296,20 @@
   CHECK_EQUAL(kGateways, told.size());
 }
 
-/// Else the loop would hold up consensus with each document, the longer the more gateways there
-/// are.
-TEST(LargeViewPublisherTest, oneTurnTellsABoundedNumber) {
-  const base::TimePoint now = tellAll();
+/// Otherwise each document would delay consensus in proportion to the number of gateways.
+TEST(LargeViewPublisherTest, theUpdatesOfOneIterationAreBounded) {
+  const base::TimePoint now = sendAll();
   CHECK_TRUE(publisher.takeUpdates(now, 1, 2, loads, {}).size() <= 64);
   CHECK_TRUE(publisher.due(now, 2));
 }
 
-TEST(LargeViewPublisherTest, nothingIsDueOnceAllIsTold) {
-  const base::TimePoint now = tellAll();
+TEST(LargeViewPublisherTest, nothingIsDueOnceAllUpdatesAreSent) {
+  const base::TimePoint now = sendAll();
   CHECK_FALSE(publisher.due(now, 1));
 }
 
-/// It has been told of all workers while there were few.
-TEST(LargeViewPublisherTest, whatAGatewayKnowsFromBeforeIsKeptUpToDate) {
+/// A gateway was sent all workers while the fleet was small.
+TEST(LargeViewPublisherTest, workersSentBeforeTheSwitchAreKeptUpToDate) {
   ViewPublisher growing{250ms};
   growing.subscribe({1}, {"a"});
   growing.setWorker(worker("first", "a", {{"m", 1, {}}}));
@@ -318,7 +317,7 @@
   for (std::size_t index = 0; index <= ViewPublisher::kMostPairs; ++index) {
     growing.setWorker(worker(name("w", index), "a", {}));
   }
-  CHECK_FALSE(growing.tellsAll());
+  CHECK_FALSE(growing.sendsAllWorkers());
   (void)growing.takeUpdates(start + 1ms, 1, 1, loads, {});
   growing.removeWorker({"first"});
   const auto sent = growing.takeUpdates(start + 2ms, 1, 1, loads, {});
