--- a/include/walnut/gateway/dialect.h
+++ b/include/walnut/gateway/dialect.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// How callers' requests and workers' answers are read and written. Implemented by a dialect; names
-/// of header fields are known nowhere else.
+/// Interface that reads and writes the header fields of callers' requests and workers' responses.
+/// Only its implementations know the names of header fields.
 
 #include <cstdint>
 #include <optional>
@@ -15,59 +15,61 @@
 
 namespace walnut::gateway {
 
-/// What a request says of itself.
+/// The properties of a request, as read from its header fields.
 struct RequestFacts {
-  std::string requestId;                   ///< Empty: none was given.
-  std::optional<base::Duration> deadline;  ///< How long its caller will wait.
-  std::string model;                       ///< Empty: for a plain service.
-  std::string adapter;                     ///< Empty: the model itself.
+  std::string requestId;                   ///< Empty if none was given.
+  std::optional<base::Duration> deadline;  ///< For how long its caller waits.
+  std::string model;                       ///< Empty for a plain service.
+  std::string adapter;                     ///< Empty for the model itself.
   std::uint64_t promptTokens = 0;
-  std::uint64_t mostTokens = 0;  ///< That it may produce.
+  std::uint64_t mostTokens = 0;  ///< Maximum that may be generated.
   bool tellsTokens = false;
-  std::string key;  ///< A secret; empty: none was given. Kept until the tenant is found.
-  /// @name Found by the gateway from the key
+  std::string key;  ///< Secret API key, or empty. Kept until the tenant is found.
+  /// @name Set by the gateway from the key
   /// @{
-  std::string tenant;  ///< Empty: the request needs no key.
+  std::string tenant;  ///< Empty if the request needs no key.
   std::optional<std::uint32_t> tenantPriority;
   double quotaCost = 0;  ///< Taken from the tenant's quota.
   /// @}
-  std::vector<std::string> promptParts;  ///< Ids of the parts of the prompt, in their order.
-  std::string resumeAfter;               ///< Id of the last event that the caller has; or empty.
+  std::vector<std::string> promptParts;  ///< Ids of the prompt's parts, in order.
+  std::string resumeAfter;               ///< Id of the caller's last event, or empty.
 };
 
-/// What the gateway says to a worker.
+/// What the gateway adds to a request for a worker.
 struct AttemptFacts {
   std::string target;  ///< Name of the worker.
   base::Duration deadline{0};
   std::uint32_t priority = 0;
-  std::string resumeAfter;  ///< Id of the last event that was passed on; empty: as in the request.
-  std::string tenant;       ///< Whose key the request bore; empty: nobody's.
+  std::string resumeAfter;  ///< Id of the last event passed on; empty: as in the request.
+  std::string tenant;       ///< Tenant of the request's key; empty if it needs no key.
 };
 
-/// What a worker's answer says.
+/// The properties of a worker's response, as read from its header fields.
 struct AnswerFacts {
   std::string requestId;
-  bool sealed = false;       ///< The worker vouches for it.
-  bool notExecuted = false;  ///< The request was not run, and never will be.
-  bool encoded = false;      ///< The body is not the worker's own.
-  /// Requests a second that the worker takes from all gateways together; absent: it names no limit.
+  bool sealed = false;       ///< The worker itself made and sealed the response.
+  bool notExecuted = false;  ///< The request was not executed and never will be.
+  bool encoded = false;      ///< Encoded on its way: not the worker's own body.
+  /// Requests per second that the worker accepts from all gateways together; absent if the response
+  /// announces no limit.
   std::optional<double> limit;
-  /// It names a limit that can't be read; the field tells which one.
+  /// Set if the response announces a limit that can't be read; the error's field names it.
   std::optional<base::Error> limitError;
 };
 
+/// Reads and writes the header fields of one API.
 class RequestDialect {
  public:
   virtual ~RequestDialect() = default;
   virtual RequestFacts readRequest(const net::HttpRequest& request) const = 0;
-  /// Takes out what only the system may say to a worker, the caller's key among it.
+  /// Removes the header fields that only the system may send to a worker, and the caller's key.
   virtual void removeSystemFields(net::HttpRequest& request) const = 0;
-  /// @return what a caller without a key is known by when it sends a request again, under another
-  /// id.
+  /// @return the identity of a caller without a key, which stays the same when it sends a request
+  /// again under another id.
   virtual std::string callerOf(const net::HttpRequest& request) const = 0;
   virtual void writeAttempt(net::HttpRequest& request, const AttemptFacts& facts) const = 0;
   virtual AnswerFacts readAnswer(int status, const net::HeaderList& headers) const = 0;
-  /// @return true if this is the question whether the gateway takes new connections.
+  /// @return true for a readiness probe, which asks whether the gateway accepts new connections.
   virtual bool isReadinessCall(const net::HttpRequest& request) const = 0;
 };
 
--- a/src/gateway/demand_tracker.h
+++ b/src/gateway/demand_tracker.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The demand for models and the load on workers at this gateway, as the registry is told of them.
+/// Collects the demand for models and the load on workers at this gateway, for reports to the
+/// registry.
 
 #include <limits>
 #include <map>
@@ -12,11 +13,11 @@
 
 namespace walnut::gateway {
 
-/// What became of an attempt, for the registry's outlier detection.
+/// Outcome of an attempt, for the registry's outlier detection.
 enum class AttemptOutcome : std::uint8_t {
-  answered,  ///< The worker has begun to answer, with success.
-  failed,    ///< It failed, was not reached or went silent.
-  stalled,   ///< The same, while it had requests for all its slots: it may only be slow.
+  answered,  ///< The worker has begun a successful response.
+  failed,    ///< The worker failed, was not reached or became unresponsive.
+  stalled,   ///< The same while all its slots were taken: it may only be slow.
 };
 
 /// How urgent a request is.
@@ -36,13 +37,14 @@
   void attemptSettled(const registry::WorkerId& worker, const std::string& service,
                       const std::string& model, const std::string& adapter, AttemptOutcome outcome);
 
-  /// Outcomes that no leader hears say nothing of workers by the time one does: what cut the
-  /// gateway off from the leader may have cut it off from them.
+  /// Discards outcomes that could not be reported. By the time a leader is followed they say
+  /// nothing about workers any more: the fault that separated the gateway from the leader may have
+  /// separated it from the workers as well.
   void dropOutcomes();
 
-  /// @return true if something waits that the last update did not tell.
+  /// @return true if a request has begun to wait since the last update.
   bool urgent() const { return urgent_; }
-  /// @return the present state; arrivals since the last call.
+  /// @return the present state, with the arrivals and outcomes since the last call.
   registry::DemandUpdate takeUpdate(const WorkerDirectory& directory);
 
  private:
--- a/src/gateway/document_lease.h
+++ b/src/gateway/document_lease.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// For how long a gateway may go by the keys that it knows.
+/// Lease that limits for how long a gateway may rely on the keys of its document.
 
 #include <algorithm>
 #include <cstdint>
@@ -12,18 +12,19 @@
 
 namespace walnut::gateway {
 
-/// A lease on the document: the gateway asks the leader which document is the newest, and the
-/// answer counts from the moment of the question, by the gateway's own boot clock. Whatever was
-/// acknowledged before the question is known by the answer, however late it comes.
+/// A lease on the document. The gateway asks the leader for the newest document version; the answer
+/// extends the lease from the time of the request, by the gateway's own boot clock. Whatever was
+/// acknowledged before the request is covered by the answer, however late the answer comes.
 ///
-/// Invariant: while the lease is valid at a time that was read after a request's bytes were taken,
-/// no key of the held document was taken away longer before the request than the lease lasts.
+/// Invariant: while the lease is valid at a time that was read after a request's bytes were
+/// received, no key of the held document was revoked longer before the request than the lease
+/// lasts.
 class DocumentLease {
  public:
   explicit DocumentLease(base::Duration lasts) : lasts_(lasts) {}
 
-  /// @param now by the clock itself.
-  /// @return what to send to the leader.
+  /// @param now read from the clock, not the loop's time.
+  /// @return the message to send to the leader.
   registry::ConfirmDocument ask(base::TimePoint now) {
     questions_.push_back({++lastSequence_, now});
     if (questions_.size() > kMostQuestions) {
@@ -45,7 +46,7 @@
     return documentTaken(heldVersion);
   }
 
-  /// An answer about a newer document counts once that one is held.
+  /// Applies an answer about a newer document, which counts once that document is held.
   bool documentTaken(std::uint64_t heldVersion) {
     if (!pending_ || heldVersion < pending_->version) {
       return false;
@@ -55,23 +56,23 @@
     return true;
   }
 
-  /// @param now by the clock itself, read after what is decided by it has come.
+  /// @param now read from the clock after the request to be decided on has come.
   bool valid(base::TimePoint now) const { return confirmedAt_ && now - *confirmedAt_ < lasts_; }
-  /// @return since when the document may have been outdated; nothing if it was never confirmed.
+  /// @return for how long the document may have been outdated; nothing if it was never confirmed.
   std::optional<base::Duration> age(base::TimePoint now) const {
     return confirmedAt_ ? std::optional(now - *confirmedAt_) : std::nullopt;
   }
   base::Duration lasts() const { return lasts_; }
 
  private:
-  /// Of those that are not answered. A leader answers within some ms or never.
+  /// Maximum number of unanswered requests kept: a leader answers within a few ms or never.
   static constexpr std::size_t kMostQuestions = 16;
 
   struct Question {
     std::uint64_t sequence = 0;
     base::TimePoint askedAt;
   };
-  /// The newest document at a time, if the gateway does not hold it yet.
+  /// An answer that names a document which the gateway does not hold yet.
   struct Pending {
     std::uint64_t version = 0;
     base::TimePoint askedAt;
--- a/src/gateway/document_receiver.cpp
+++ b/src/gateway/document_receiver.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Above the largest text that the registry takes (4 MB): its packed form is shorter.
+/// Maximum size of a packed document: more than the largest text that the registry accepts (4 MB),
+/// whose packed form is shorter.
 constexpr std::uint64_t kMaxDocumentBytes = 16U << 20U;
 
 }  // namespace
@@ -27,7 +28,7 @@
     bytes_.clear();
   }
   if (part.offset != bytes_.size()) {
-    return std::shared_ptr<const catalog::Document>();  // The sender goes by the cursor.
+    return std::shared_ptr<const catalog::Document>();  // The sender resumes at the cursor.
   }
   bytes_ += part.bytes;
   cursor_.received = bytes_.size();
--- a/src/gateway/document_receiver.h
+++ b/src/gateway/document_receiver.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Puts a document together from the parts that a leader sends.
+/// Reassembles a document from the parts that a leader sends.
 
 #include <memory>
 #include <optional>
@@ -12,15 +12,17 @@
 
 namespace walnut::gateway {
 
-/// Keeps what has come across connections: the parts of one document are the same from any server.
+/// Reassembles one document at a time. Parts are kept across connections: the parts of one document
+/// are the same from any server.
 class DocumentReceiver {
  public:
-  /// @param held the document that the gateway holds; a delta applies to no other. May be null.
-  /// @return the document if it is whole now; an error if what came is not one: it is then dropped
-  /// and has to be sent anew.
+  /// @param held the document that the gateway holds, the only one to which a delta may apply. May
+  /// be null.
+  /// @return the document if it is complete now; null if parts are missing; an error if the
+  /// received bytes are invalid: they are then dropped and have to be sent anew.
   base::Result<std::shared_ptr<const catalog::Document>> take(const registry::DocumentPart& part,
                                                               const catalog::Document* held);
-  /// @return how far the document that is being taken has come.
+  /// @return the progress of the document that is being received.
   const registry::DocumentCursor& cursor() const { return cursor_; }
 
  private:
--- a/src/gateway/event_stream.cpp
+++ b/src/gateway/event_stream.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// @return the position behind the first empty line; npos if there is none.
+/// @return the position after the first empty line; npos if there is none.
 std::size_t endOfEvent(std::string_view text) {
   const std::size_t plain = text.find("\n\n");
   const std::size_t withReturns = text.find("\r\n\r\n");
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events into whole events.
 
 #include <cstdint>
 #include <optional>
@@ -9,19 +9,21 @@
 
 namespace walnut::gateway {
 
-/// Only whole events leave it, so that a stream which breaks off within one can go on elsewhere.
+/// Parser of a stream of server-sent events. It passes on whole events only, so that a stream that
+/// is cut within an event can be resumed from another worker.
 class EventStream {
  public:
-  /// @return the whole events that are complete now, as received; empty if none is.
+  /// Adds received bytes.
+  /// @return the events that are complete now, as received; empty if none is.
   std::string feed(std::string_view bytes);
 
-  /// Passes over events up to this id, which the caller has already.
+  /// Skips events up to this id, which the caller already has.
   void skipUpTo(std::uint64_t id) { skipUpTo_ = id; }
-  /// Drops a begun event.
+  /// Drops an incomplete event.
   void restart() { partial_.clear(); }
 
   bool midEvent() const { return !partial_.empty(); }
-  /// Id of the last event that left; empty if it had none, or none left.
+  /// Id of the last event that was passed on and had one; empty if there was none.
   const std::string& lastId() const { return lastId_; }
   std::uint64_t eventCount() const { return eventCount_; }
 
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -16,11 +16,11 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 constexpr std::string_view kQuarantined = "quarantined";
-constexpr int kNoAnswer = 0;  ///< The caller had left, or the answer was broken off.
+constexpr int kNoAnswer = 0;  ///< The caller had disconnected, or the response was aborted.
 
 constexpr base::Duration kDefaultDeadline = std::chrono::seconds(60);
 constexpr std::uint32_t kMaxArrivals = 8;
-/// When a refused caller is asked to come back.
+/// Retry-After values of refusals.
 constexpr base::Duration kRetryAfterFull = std::chrono::milliseconds(300);
 constexpr base::Duration kRetryAfterTimeout = std::chrono::milliseconds(500);
 std::uint64_t millisOf(base::Duration duration) {
@@ -131,10 +131,12 @@
   return *digest_;
 }
 
-/// What ended under several workers would end the next one as well, with all that it has: it is
-/// refused at once, and its caller told for how long that holds. While that is not sure it waits,
-/// if it has the time: most of what was merely beside such a request is cleared within 2 s.
-/// @return false if it may be sent.
+/// Refuses or delays a request that is suspected of crashing workers. A request that crashed
+/// several workers would crash the next one as well, with all other requests there: it is refused
+/// at once with the remaining time of its quarantine as Retry-After. While the classification is
+/// not certain (held) the request waits, if its deadline permits: most requests that merely ran
+/// beside such a request are cleared within 2 s.
+/// @return false if the request may be sent.
 bool Exchange::stopIfSuspect() {
   const auto verdict = verdictOnThis();
   if (!verdict || verdict->standing == registry::RequestStanding::suspected) {
@@ -170,7 +172,8 @@
                         {"until-millis", millisOf(verdict.until - now())}});
 }
 
-/// One that is queued at a worker has not crashed it yet, and is taken back.
+/// A request that is still queued at a worker has not crashed it yet, and is cancelled there if it
+/// is now quarantined.
 void Exchange::suspectsChanged() {
   if (state_ == State::choosing) {
     held_ ? choose() : static_cast<void>(stopIfSuspect());
@@ -190,8 +193,9 @@
   (void)stopIfSuspect();
 }
 
-/// A stream that is queued for longer than its target is late, and so is all that queues behind it;
-/// refused, it leaves the slots to those that can be in time. A stream that has begun goes on.
+/// A stream that queues for longer than its target latency is late, and delays all streams queued
+/// behind it. Refusing it leaves the slots to streams that can begin in time. A stream that has
+/// begun continues.
 bool Exchange::wouldBeginLate(const Selection& selection) const {
   return isStreaming() && !headSent_ && route_.targetLatency > base::Duration::zero() &&
          selection.expectedWait > route_.targetLatency;
@@ -249,15 +253,16 @@
   return (executed == Executed::no || route_.repeatable()) && runs < route_.maxAttempts;
 }
 
-/// Once for each attempt.
+/// Reports the attempt as answered, once for each attempt.
 void Exchange::noteAnswered() {
   if (!std::exchange(answerNoted_, true)) {
     context_.attemptSettled(*worker_, facts_, AttemptOutcome::answered);
   }
 }
 
-/// A worker with requests for all its slots is slow to answer and resets connections though it is
-/// well; or it is ill and hangs. The registry knows whether it answers anybody.
+/// A healthy worker whose slots are all taken is slow to answer and resets connections, just as a
+/// hanging one is. The registry tells the two apart, since it knows whether the worker answers
+/// other gateways; such a failure is reported as stalled.
 void Exchange::noteFailed() {
   context_.attemptSettled(*worker_, facts_,
                           worker_->full() ? AttemptOutcome::stalled : AttemptOutcome::failed);
@@ -364,8 +369,9 @@
   return other.worker != nullptr && !other.worker->full();
 }
 
-/// The worker has been silent for long: a stream that may be resumed goes on elsewhere, if it
-/// begins there at once. Else it keeps its place: most silent workers are busy, not lost.
+/// Handles a worker that has sent nothing for the stall timeout. A resumable stream continues at
+/// another worker if it can begin there at once. Otherwise it keeps its place: most unresponsive
+/// workers are busy, not lost.
 void Exchange::onStall() {
   if (state_ != State::attempting) {
     return;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One request of a caller, from its arrival to its one answer.
+/// Proxies one request of a caller to a worker, with retries, until the caller has its response.
 
 #include <cstdint>
 #include <memory>
@@ -22,17 +22,18 @@
 
 namespace walnut::gateway {
 
-/// A request on its way to a worker.
+/// One attempt of a request: the request as sent to one worker, with its connection.
 class Attempt {
  public:
   virtual ~Attempt() = default;
-  /// Gives it up: no callback follows, and the worker is told by the end of the connection.
+  /// Cancels the attempt: no callback follows, and the worker notices by the closed connection.
   virtual void cancel() = 0;
-  /// The answer is complete: the connection may carry another request.
+  /// Ends the attempt after a complete response: the connection may be reused for another request.
   virtual void release() = 0;
   virtual void setReading(bool enabled) = 0;
 };
 
+/// Sends requests to workers.
 class AttemptLauncher {
  public:
   virtual ~AttemptLauncher() = default;
@@ -42,14 +43,15 @@
                                          net::ResponseCallbacks& callbacks) = 0;
   /// @return true if a request to that worker would need no new connection.
   virtual bool connected(const registry::WorkerId& worker) const = 0;
-  /// Closes the idle connections to a worker: it is gone, or one of them went silent. Open ones may
-  /// go silent together, without a reset, while new ones work.
+  /// Closes the idle connections to a worker that has been removed, or of which one connection
+  /// became unresponsive. Open connections may become unresponsive together, without a reset, while
+  /// new ones work.
   virtual void forget(const registry::WorkerId& worker) = 0;
 };
 
 class Exchange;
 
-/// What exchanges share. Implemented by the gateway.
+/// Services and state that all exchanges of a gateway share. Implemented by the gateway.
 class ExchangeContext {
  public:
   virtual ~ExchangeContext() = default;
@@ -59,64 +61,69 @@
   virtual WorkerSelector& selector() = 0;
   virtual runtime::EventLog& log() = 0;
   virtual runtime::MetricsSink& metrics() = 0;
-  /// Takes one from the budget of arrivals beyond the first of a request.
+  /// Takes one retry from the service's retry budget, which limits the attempts that reach a worker
+  /// beyond the first one of each request.
+  /// @return false if the budget is exhausted.
   virtual bool takeRetry(const std::string& service) = 0;
   virtual void waitBegan(const std::string& service, const RequestFacts& facts,
                          const catalog::Route& route) = 0;
   virtual void waitEnded(const std::string& service, const RequestFacts& facts) = 0;
-  /// @name A request is with a worker from now on, or no longer
+  /// @name Accounting of requests that are in flight at a worker
   /// @{
   virtual void attemptBegan(Worker& worker, const RequestFacts& facts) = 0;
   virtual void attemptEnded(Worker& worker, const RequestFacts& facts) = 0;
   /// @}
-  /// The worker could not be reached, or went silent.
+  /// Records that the worker could not be reached or became unresponsive.
   virtual void attemptFailed(Worker& worker) = 0;
   virtual void attemptSettled(const Worker& worker, const RequestFacts& facts,
                               AttemptOutcome outcome) = 0;
   /// @name Requests that crash their workers
   /// @{
-  /// @return true if there may be verdicts: else no request need be told from others.
+  /// @return true if any request is classified as suspect: otherwise no digest has to be computed.
   virtual bool watchesRequests() const = 0;
   virtual std::optional<RequestQuarantine::Verdict> verdictOn(
       const registry::RequestDigest& request) const = 0;
-  /// The worker had the request, and had not answered a part of it, when the connection ended.
-  /// @param begun the head of its answer had come.
+  /// Records that the connection ended while the worker had the request and before any part of the
+  /// response body had come.
+  /// @param begun true if the head of the response had come.
   virtual void requestCut(const Worker& worker, const registry::RequestDigest& request,
                           bool begun) = 0;
   virtual void suspectAnswered(const registry::RequestDigest& request) = 0;
   /// @}
-  /// @name Workers that name limits
+  /// @name Workers that announce rate limits
   /// @{
-  /// An answer of the worker has come, to a request that was sent at `sentAt`.
+  /// Processes the head of the worker's response to a request that was sent at `sentAt`.
   virtual void answerRead(const Worker& worker, const AnswerFacts& answer,
                           base::TimePoint sentAt) = 0;
-  /// A request waits for a share of the worker's limit, or no longer.
+  /// Counts the requests that wait for a granted share of the worker's limit.
   virtual void shareWaitBegan(const registry::WorkerId& worker) = 0;
   virtual void shareWaitEnded(const registry::WorkerId& worker) = 0;
-  /// A request is sent to the worker.
+  /// Takes one request from the granted share: it is being sent to the worker.
   virtual void takeShare(const registry::WorkerId& worker) = 0;
   /// @}
-  /// @return when a model that no worker serves is expected; nothing if that is soon, or not known.
+  /// @return when a model that no worker serves is expected to be loaded; nothing if that is soon
+  /// or not known.
   virtual std::optional<base::TimePoint> expectedAt(const std::string& service,
                                                     const std::string& model) const = 0;
   virtual std::uint64_t documentVersion() const = 0;
-  /// @return true if the registry's leader hears what is waited for.
+  /// @return true if the registry's leader receives this gateway's demand reports.
   virtual bool leaderKnown() const = 0;
-  /// The exchange is over; it is destroyed soon.
+  /// Called at the end of an exchange, which is destroyed in the next event loop iteration.
   virtual void ended(Exchange& exchange, int status) = 0;
 };
 
-/// States: choosing -> attempting (sent to a worker) -> choosing ... -> ended. Choosing waits while
-/// no worker can be had. An exchange ends with exactly one answer, or without any when its caller
-/// has left. Owned by the gateway.
+/// Proxies one request of a caller. States: choosing (selects a worker) -> attempting (sent to a
+/// worker) -> choosing ... -> ended. In the state choosing the request waits while no worker is
+/// available. An exchange ends with exactly one response, or with none if its caller has
+/// disconnected. Owned by the gateway.
 ///
-/// Invariants: a request that may not be repeated is sent again only if each earlier attempt is
-/// known not to have run; a refusal that promises "not run" is given only if that is so; a stream's
-/// events leave whole, in order and once.
+/// Invariants: a non-repeatable request is sent again only if each earlier attempt is known not to
+/// have run; a refusal that promises "not run" is given only if that is so; a stream's events are
+/// passed on whole, in order and once.
 class Exchange : public net::ResponseCallbacks {
  public:
-  /// @param number of its own at its gateway, rising in the order of arrival.
-  /// @param document keeps the route alive.
+  /// @param number unique at this gateway, increasing in the order of arrival.
+  /// @param document owns `route` and keeps it alive.
   Exchange(ExchangeContext& context, std::uint64_t number,
            std::shared_ptr<const catalog::Document> document, const catalog::Route& route,
            std::string service, RequestFacts facts, net::HttpRequest request,
@@ -126,33 +133,34 @@
   Exchange& operator=(const Exchange&) = delete;
 
   void start();
-  /// Workers, or what they hold, have changed.
+  /// Selects a worker anew after a change of the workers or of the models that they hold.
   void viewChanged();
-  /// Requests are suspected of crashing their workers, or no longer.
+  /// Checks this request again after the list of requests suspected of crashing workers has
+  /// changed.
   void suspectsChanged();
-  /// The leader has answered about shares of limits.
+  /// Selects a worker anew after the leader has granted or denied shares of limits.
   void sharesChanged();
   bool waitsForShare() const { return shareOf_.has_value(); }
-  /// @return by which those that wait are served: a lower one before a higher one.
+  /// @return the priority of this request among waiting ones: a lower number is served first.
   std::uint32_t priority() const { return facts_.tenantPriority.value_or(route_.priority); }
-  /// The process is about to end: a request that waits for a worker is refused.
+  /// Refuses the request if it waits for a worker, because the process is about to shut down.
   void stopWaiting();
-  /// The process ends: what runs is given up.
+  /// Cancels the request, also one that runs, because the process shuts down.
   void giveUp();
 
   std::uint64_t number() const { return number_; }
   const RequestFacts& facts() const { return facts_; }
-  /// @return true if a worker may have worked on it.
+  /// @return true if a worker may have executed the request.
   bool mayHaveRun() const { return launches_ > launchesNotRun_; }
 
  private:
-  /// Least time to the first event, and between events, after which a stream is tried elsewhere.
+  /// Lower bound of the time without an event after which a stream is sent to another worker.
   static constexpr base::Duration kStallFloor = std::chrono::milliseconds(900);
 
   enum class State : std::uint8_t { choosing, attempting, ended };
-  /// What is known of an attempt that did not succeed.
+  /// Whether a failed attempt was executed by its worker.
   enum class Executed : std::uint8_t { no, yes, unknown };
-  /// What is done with the body that comes in.
+  /// What is done with the body of the worker's response.
   enum class BodyUse : std::uint8_t { discard, collect, stream };
 
   // net::ResponseCallbacks
@@ -225,35 +233,35 @@
   event::TimerPtr retryTimer_;
   event::TimerPtr stallTimer_;
 
-  std::set<registry::WorkerId> excluded_;  ///< Not to be chosen again for now.
+  std::set<registry::WorkerId> excluded_;  ///< Workers that are not selected again for now.
   bool waiting_ = false;
-  std::optional<registry::WorkerId> shareOf_;  ///< Whose share the leader is asked for.
+  std::optional<registry::WorkerId> shareOf_;  ///< Worker of the requested share.
   base::TimePoint waitBeganAt_;
-  base::Duration waited_{0};    ///< For a worker that could be had, in all.
-  bool mayHaveRun_ = false;     ///< Some earlier attempt has run, or may have.
+  base::Duration waited_{0};    ///< Total time waited for an available worker.
+  bool mayHaveRun_ = false;     ///< Some earlier attempt was executed, or may have been.
   std::uint32_t arrivals_ = 0;  ///< Attempts that reached a worker.
   std::uint32_t launches_ = 0;
   std::uint32_t launchesNotRun_ = 0;
-  std::uint32_t runs_ = 0;  ///< Attempts that have run, or may have.
+  std::uint32_t runs_ = 0;  ///< Attempts that were executed, or may have been.
   std::uint32_t backoffs_ = 0;
-  bool retryTaken_ = false;                        ///< From the budget, for the next attempt.
-  std::optional<registry::RequestDigest> digest_;  ///< Once it was needed.
-  bool held_ = false;                              ///< Was, at some time, while it was suspected.
+  bool retryTaken_ = false;                        ///< A retry was taken for the next attempt.
+  std::optional<registry::RequestDigest> digest_;  ///< Computed on first use.
+  bool held_ = false;                              ///< Was delayed at least once, being suspect.
 
-  // Of the present attempt.
+  // State of the current attempt.
   std::unique_ptr<Attempt> attempt_;
   WorkerDirectory::WorkerPtr worker_;
   base::TimePoint attemptAt_;
-  base::Duration stallPatience_{0};  ///< Without a word of the worker, as last armed.
+  base::Duration stallPatience_{0};  ///< Stall timeout as last armed.
   net::HttpResponseHead head_;
   AnswerFacts answer_;
   bool headSeen_ = false;
-  bool accepted_ = false;  ///< The answer is the worker's own success.
+  bool accepted_ = false;  ///< The response is a success that the worker itself sealed.
   bool answerNoted_ = false;
   BodyUse bodyUse_ = BodyUse::discard;
   std::string body_;
 
-  // Of a stream.
+  // State of a streaming response.
   bool headSent_ = false;
   base::TimePoint firstEventAt_;
   base::TimePoint lastEventAt_;
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of an exchange that takes the answer of a worker.
+/// The part of an exchange that processes the response of a worker.
 
 #include <algorithm>
 #include <charconv>
@@ -17,11 +17,11 @@
 constexpr int kMultipleChoices = 300;
 constexpr int kInternalError = 500;
 
-/// Answers without events are kept whole before they are passed on, up to this size.
+/// Maximum size of a non-streaming response, which is buffered whole before it is passed on.
 constexpr std::size_t kMaxCollected = 8U << 20U;
-/// A slow caller holds up its worker from here on.
+/// Bytes buffered for a slow caller above which reading from its worker is paused.
 constexpr std::size_t kHighWatermark = 256U << 10U;
-/// A worker that said it does not hold a model is not asked again for this long.
+/// Time for which no further request is sent to a worker that denied holding a model.
 constexpr base::Duration kMissedFor = std::chrono::milliseconds(500);
 constexpr base::Duration kMissedAdapterFor = std::chrono::milliseconds(25);
 constexpr int kStallFactor = 4;
@@ -103,7 +103,7 @@
   }
 }
 
-/// A pause that makes the answer late speaks against the worker like a failure, once a stream.
+/// Counts a pause beyond the target gap as a failure of the worker, once per stream.
 void Exchange::notePause(base::Duration pause) {
   const bool first = longestGap_ <= pauseLimit();
   longestGap_ = std::max(longestGap_, pause);
@@ -124,7 +124,7 @@
     if (worker_->full()) {
       worker_->saidFull();
     } else if (!facts_.model.empty()) {
-      // It does not hold it, or is about to drop it.
+      // The worker does not hold the model, or is about to unload it.
       worker_->missed(facts_.model, facts_.adapter,
                       now() + (facts_.adapter.empty() ? kMissedFor : kMissedAdapterFor));
     }
@@ -190,8 +190,9 @@
   finish(head_.status, "complete");
 }
 
-/// The worker may have ended, and this request may be why: one that had a part of its answer is
-/// none of those, as what crashes a worker does so before.
+/// Reports a request whose connection was cut: its worker may have crashed because of it. A request
+/// that had received part of its response is not reported, as a request that crashes a worker does
+/// so before it is answered.
 void Exchange::noteCut() {
   if (answerNoted_ || worker_->view.record.leaving) {
     return;
@@ -209,7 +210,8 @@
   context_.requestCut(*worker_, digest(), headSeen_);
 }
 
-/// Also with an error of the worker's own: it is still there.
+/// Reports that a suspect request was answered, also with an error of the worker's own: the worker
+/// survived the request.
 void Exchange::noteSuspectAnswered() {
   if (verdictOnThis()) {
     context_.suspectAnswered(digest());
--- a/src/gateway/exchange_wait.cpp
+++ b/src/gateway/exchange_wait.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of an exchange that waits for a worker, and decides for how long that makes sense.
+/// The part of an exchange that waits for a worker and limits how long it waits.
 
 #include <algorithm>
 #include <utility>
@@ -17,23 +17,23 @@
 
 constexpr base::Duration kBackoffMin = std::chrono::milliseconds(25);
 constexpr std::uint32_t kMaxBackoffDoublings = 4;
-/// When a refused caller is asked to come back.
+/// Retry-After value of a refusal because no worker is available.
 constexpr base::Duration kRetryAfterFull = std::chrono::milliseconds(300);
-/// A request for a model that only failing workers hold waits this long for another replica, then
-/// goes to one of them: a load from a disk takes 1 to 2 s, and callers give up a stream that does
-/// not begin after 2 s at the earliest.
+/// Time for which a request for a model that only failing workers hold waits for another replica
+/// before it is sent to one of them: a load from disk takes 1 to 2 s, and callers abandon a stream
+/// that has not begun after 2 s at the earliest.
 constexpr base::Duration kReplicaPatience = std::chrono::milliseconds(1900);
-/// @name After which the callers of the users' platform give up a stream that has not begun: the
-/// longest of these
+/// @name Time after which callers on the users' platform abandon a stream that has not begun: the
+/// longest of the three
 /// @{
 constexpr base::Duration kLeastPatience = std::chrono::seconds(2);
 constexpr int kPatienceInTargets = 4;
 constexpr int kPatienceInGaps = 8;
 /// @}
-/// Without workers, or without a leader to ask for a share of a limit, a request waits this share
-/// of its target latency.
+/// Without workers, or without a leader that could grant a share of a limit, a request waits for
+/// this fraction (1/n) of its target latency.
 constexpr int kPatienceDivisor = 4;
-/// Until the leader is asked anew for a share of a limit.
+/// Time until a share of a limit is requested again from the leader.
 constexpr base::Duration kSharePatience = std::chrono::milliseconds(100);
 
 std::string_view reasonName(NoWorkerReason reason) {
@@ -56,8 +56,8 @@
 
 }  // namespace
 
-/// Another replica may come of a model, if somebody hears that it is waited for; no other worker of
-/// a plain service does.
+/// Another replica of a model may be loaded if the leader learns of the demand. A plain service
+/// gets no further worker this way, so its requests use a failing worker at once.
 bool Exchange::takesLastResort() const {
   return facts_.model.empty() || !context_.leaderKnown() || now() >= arrivedAt_ + kReplicaPatience;
 }
@@ -77,7 +77,7 @@
                                                   {"document", context_.documentVersion()}});
 }
 
-/// The leader answers within some ms, or is lost.
+/// Waits for a share of the worker's limit. The leader answers within a few ms, or is lost.
 void Exchange::askForShare(const Worker& worker) {
   const registry::WorkerId& id = worker.view.record.id;
   beginWait(NoWorkerReason::limited);
@@ -102,8 +102,9 @@
   }
 }
 
-/// A model is brought up at another worker once it is waited for, and a leader may be found within
-/// moments. A stream that has begun goes on if its caller waits.
+/// @return true if waiting is useful: the model is loaded on demand at a worker without a limit, or
+/// a leader may be found within moments. A stream that has begun continues for as long as its
+/// caller waits.
 bool Exchange::waitsForLimit(const Selection& selection) const {
   if (headSent_) {
     return true;
@@ -130,7 +131,7 @@
   }
 }
 
-/// For what comes within moments, if at all.
+/// End of the short wait for conditions that are met within moments or not at all.
 base::TimePoint Exchange::shortPatienceEnds() const {
   return arrivedAt_ + route_.targetLatency / kPatienceDivisor;
 }
@@ -150,7 +151,7 @@
   retryTimer_->enableAt(now() + kBackoffMin * (1U << doublings));
 }
 
-/// Callers give up a stream that does not begin.
+/// @return when the caller is expected to disconnect: callers abandon a stream that does not begin.
 base::TimePoint Exchange::callerLeavesAt() const {
   if (!isStreaming()) {
     return deadline_;
@@ -161,7 +162,8 @@
   return std::min(deadline_, arrivedAt_ + patience);
 }
 
-/// Its caller would wait in vain: it is told at once when the model is expected.
+/// Refuses a request whose caller would disconnect before the model is loaded. Retry-After says
+/// when the model is expected.
 bool Exchange::refuseIfTooLate(NoWorkerReason reason) {
   const bool waitsForModel = reason == NoWorkerReason::notHeld || reason == NoWorkerReason::limited;
   if (!waitsForModel || !facts_.adapter.empty() || headSent_) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,23 +16,24 @@
 constexpr int kNotFound = 404;
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-/// Share of the budget that is used: gateways are counted with a delay.
+/// Fraction of the retry budget that is used, because the number of gateways is known with a delay.
 constexpr double kBudgetShare = 0.7;
-/// @name Least time between reports that tell whether a model is in use: a leader takes some
-/// hundred a second from all gateways together
+/// @name Minimum time between reports of whether a model is in use: a leader processes a few
+/// hundred reports a second from all gateways together
 /// @{
 constexpr base::Duration kUseSpacing = std::chrono::milliseconds(50);
 constexpr base::Duration kUseSpacingPerGateway = std::chrono::milliseconds(4);
 /// @}
-/// Between two reports that have nothing: well below the time after which a server takes a silent
-/// connection for lost.
+/// Time between two empty reports: well below the time after which a server considers an idle
+/// connection lost.
 constexpr base::Duration kQuietInterval = std::chrono::seconds(3);
-/// For the first document after a start: little more than an election takes.
+/// Time that early requests wait for the first document after a start: little more than an election
+/// takes.
 constexpr base::Duration kEarlyPatience = std::chrono::milliseconds(1500);
 constexpr std::size_t kMaxEarly = 256;
 
-/// A lease counts from its question, so that no share of it need be left for messages; a tenth is
-/// for clocks that run apart.
+/// Returns the duration of a document lease. The lease counts from the time of its request, so that
+/// no part of it has to be reserved for message delays; a tenth is reserved for clock drift.
 base::Duration leaseOf(base::Duration revocation) {
   constexpr int kTenths = 9;
   return revocation * kTenths / 10;
@@ -146,14 +147,15 @@
   reportCutsSoon();
 }
 
-/// One report for all that ended with a worker.
+/// Schedules one report for all requests that were cut together, such as by the end of their
+/// worker.
 void Gateway::reportCutsSoon() {
   if (!std::exchange(cutsSoon_, true)) {
     scheduler_.runSoon([this] { reportCuts(); });
   }
 }
 
-/// What no leader hears now is told to the next one.
+/// Reports cut requests. Without a leader they are kept and reported to the next one.
 void Gateway::reportCuts() {
   cutsSoon_ = false;
   if (!session_.following()) {
@@ -244,7 +246,8 @@
   }
 }
 
-/// The document comes within moments of the start of a gateway; what can't wait is refused.
+/// Queues a request that comes before the first document, which arrives within moments of the start
+/// of a gateway. Refuses it if the queue is full.
 void Gateway::keepEarly(net::HttpRequest request, net::ResponseSink& sink) {
   if (refusingAll_ || early_.size() >= kMaxEarly) {
     refuse(sink, dialect_.readRequest(request).requestId, kUnavailable,
@@ -351,7 +354,7 @@
   if (route.services.size() == 1) {
     return route.services.front().service;
   }
-  // Smooth weighted round robin: the one that is furthest behind its share is next.
+  // Smooth weighted round robin: the service that is furthest behind its share is next.
   std::map<std::string, double>& behind = rotations_[route.name];
   double total = 0;
   const catalog::WeightedService* next = nullptr;
@@ -427,8 +430,9 @@
   reportUseSoon(worker, facts.model);
 }
 
-/// Whether a model is in use decides what makes room for others, and is told soon; how much it is
-/// used may wait. All gateways together tell no more often the more they are.
+/// Reports soon if a model has begun or ceased to be in use, since that decides which models are
+/// evicted to free memory for others; a change of the amount of use may wait. The spacing grows
+/// with the number of gateways, so that the rate of all reports together does not.
 void Gateway::reportUseSoon(const Worker& worker, const std::string& model) {
   const auto running = worker.runningByModel.find(model);
   const bool changed = running == worker.runningByModel.end() || running->second == 1;
@@ -456,8 +460,8 @@
   }
 }
 
-/// The registry detects outliers by the outcomes of all gateways together: none of them alone sees
-/// enough of one worker. Failures are told soon.
+/// Records an outcome for the registry, which detects outliers from the outcomes of all gateways
+/// together: no single gateway sees enough of one worker. Failures are reported soon.
 void Gateway::attemptSettled(const Worker& worker, const RequestFacts& facts,
                              AttemptOutcome outcome) {
   const registry::WorkerRecord& record = worker.view.record;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The gateway's logic: routes requests of callers to workers of services.
+/// The gateway's logic: admits requests of callers and routes them to workers of services.
 
 #include <list>
 #include <map>
@@ -24,21 +24,23 @@
 
 struct GatewayOptions {
   WorkerSelectorOptions selection;
-  /// Arrivals at the workers of a service beyond the first of each request, over all gateways: this
-  /// share of its requests, and so many more in a window.
+  /// Retry budget of a service, over all gateways: attempts that reach its workers beyond the first
+  /// of each request may number this fraction of its requests, plus `retrySlack` in a window.
   double retryRatio = 0.2;
   double retrySlack = 10;
   std::uint32_t breakerFailures = 3;
   base::Duration breakerOpenFor = std::chrono::milliseconds(800);
   base::Duration demandInterval = std::chrono::milliseconds(500);
-  /// From the acknowledgement of a document without a key until no gateway lets it through.
+  /// Maximum time from the acknowledgement of a document that revokes a key until no gateway
+  /// accepts the key any more.
   base::Duration revocation = std::chrono::seconds(5);
 };
 
-/// Owns the exchanges in progress. Its view of workers and its document come from the registry's
-/// leader; without one it goes on with what it knows, but never back to an older document. What it
-/// knows of keys counts only while it is confirmed (DocumentLease): else requests that need one are
-/// refused as not run.
+/// The request router of one gateway process. It owns the exchanges in progress. Its view of the
+/// workers and its document (the configuration) come from the registry's leader. Without a leader
+/// it continues with the last known state, but never returns to an older document. Its knowledge of
+/// keys counts only while confirmed (DocumentLease): otherwise requests that need a key are refused
+/// as not run.
 class Gateway : public net::RequestHandler, public ExchangeContext, private ShareView {
  public:
   Gateway(const GatewayOptions& options, event::Scheduler& scheduler, const RequestDialect& dialect,
@@ -47,38 +49,40 @@
   ~Gateway() override;
 
   void start();
-  /// @return the document in force; null while there is none.
+  /// @return the document in force; null before the first one was received.
   std::shared_ptr<const catalog::Document> document() const;
   void viewReceived(const registry::ViewUpdate& update);
   void suspectsReceived(const registry::SuspectList& list);
-  /// The first view of a leader is there.
-  /// @param told whether it has told of suspects before: else there are none.
+  /// Called when the first view of a newly followed leader has come.
+  /// @param told true if the leader has sent a list of suspect requests before the view: otherwise
+  /// there are none.
   void leaderFollowed(bool told);
-  /// Takes a document if it is newer than the one in force.
-  /// @return true if it was taken.
+  /// Puts a document in force if it is newer than the present one.
+  /// @return true if it was put in force.
   bool documentReceived(std::shared_ptr<const catalog::Document> document);
   void documentConfirmed(const registry::DocumentConfirmed& answer);
   void quotaGranted(const registry::QuotaGrant& grant);
   void lateModelsReceived(const registry::LateModels& late);
   void sharesGranted(const registry::ShareGrant& grant);
-  /// @return the version by whose keys a request would be let through now; 0: none would be.
+  /// @return the version of the document by whose keys a request would be admitted now; 0: keys are
+  /// not confirmed.
   std::uint64_t keysInForce() const;
 
-  /// @return true if the leader has told of a newer document than the one in force.
+  /// @return true if the leader has announced a newer document than the one in force.
   bool behind() const { return newestVersion_ > documentVersion(); }
 
-  /// @return true if requests can be let through and the gateway is not stopping.
+  /// @return true if requests can be admitted and the gateway is not shutting down.
   bool ready() const;
   void beginStop() { stopping_ = true; }
-  /// From now on streams are refused: the process may end before they would.
+  /// Refuses new streams from now on: the process may shut down before they are complete.
   void refuseStreams() { refusingStreams_ = true; }
-  /// From now on every request is refused, those that wait for a worker too: the process is about
-  /// to end.
+  /// Refuses every request from now on, also those that wait for a worker: the process is about to
+  /// shut down.
   void refuseAll();
-  /// Gives up what still runs.
+  /// Cancels all requests that still run.
   void giveUpAll();
   std::size_t exchangeCount() const { return exchanges_.size(); }
-  /// @return workers that have gone since the last call.
+  /// @return workers that were removed since the last call.
   std::vector<registry::WorkerId> takeGoneWorkers() { return directory_.takeGone(); }
 
   // net::RequestHandler
@@ -117,7 +121,8 @@
   void ended(Exchange& exchange, int status) override;
 
  private:
-  /// Assumed until the registry tells: rather too many.
+  /// Number of gateways assumed until the registry announces it: rather too high, so that the retry
+  /// budget per gateway is not exceeded.
   static constexpr std::uint32_t kUnknownGateways = 16;
   static constexpr base::Duration kRetryAfterRefusal = std::chrono::milliseconds(200);
 
@@ -128,14 +133,14 @@
   }
   base::Duration shareRetryAfter(const registry::WorkerId& worker) override;
 
-  /// A request that came before any document was known.
+  /// A request that came before the gateway was prepared to route it.
   struct EarlyRequest {
     net::HttpRequest request;
     net::ResponseSink* sink = nullptr;
     base::TimePoint arrivedAt;
   };
 
-  /// A request that has been let in, and waits for its tenant's quota.
+  /// An authenticated request whose cost has to be taken from its tenant's quota.
   struct UnpaidRequest {
     net::HttpRequest request;
     net::ResponseSink* sink = nullptr;
@@ -143,12 +148,12 @@
     std::shared_ptr<const catalog::Document> document;  ///< Keeps the route alive.
     const catalog::Route* route = nullptr;
     base::TimePoint arrivedAt;
-    base::TimePoint until;       ///< When it is refused.
-    std::uint64_t question = 0;  ///< The first one that asks for it; 0: none yet.
+    base::TimePoint until;       ///< It is refused then.
+    std::uint64_t question = 0;  ///< First quota request that covers it; 0: none.
   };
   using UnpaidRequests = std::list<UnpaidRequest>;
 
-  /// @return true once a request can be judged at all.
+  /// @return true once requests can be routed and authenticated at all.
   bool prepared() const;
   const catalog::Tenant* authenticate(RequestFacts& facts, net::ResponseSink& sink);
   void noteLease(base::TimePoint now);
@@ -189,7 +194,7 @@
   void reportWithinSpacing();
   void noteNewest(std::uint64_t version);
   void wakeWaiting();
-  /// Calls a method of all exchanges in the order of their arrival; it may end them.
+  /// Calls a method of all exchanges in the order of their arrival. The method may end exchanges.
   void forEachExchange(void (Exchange::*method)());
 
   const GatewayOptions options_;
@@ -203,19 +208,19 @@
   std::unique_ptr<catalog::RouteTable> routes_;
   std::unique_ptr<KeyTable> keys_;
   DocumentLease lease_;
-  bool leaseNoted_ = false;  ///< Whether it was valid, as last logged.
+  bool leaseNoted_ = false;  ///< Validity of the lease as last logged.
   event::TimerPtr leaseTimer_;
   QuotaAccount quota_;
-  std::map<std::string, UnpaidRequests> unpaid_;  ///< By tenant; no list is empty.
+  std::map<std::string, UnpaidRequests> unpaid_;  ///< By tenant; without empty lists.
   std::size_t unpaidCount_ = 0;
-  std::set<std::string> countedTenants_;  ///< That have a metric of their own.
+  std::set<std::string> countedTenants_;  ///< Tenants with a metric of their own.
   event::TimerPtr quotaTimer_;
   bool quotaSoon_ = false;
-  std::uint64_t newestVersion_ = 0;  ///< That the leader has told of.
-  base::TimePoint newestSince_;      ///< When it told of that first.
+  std::uint64_t newestVersion_ = 0;  ///< Newest document that the leader has announced.
+  base::TimePoint newestSince_;      ///< First announcement of `newestVersion_`.
   WorkerDirectory directory_;
   WorkerLimits limits_;
-  std::set<registry::WorkerId> unreadableLimits_;  ///< Workers whose last limit could not be read.
+  std::set<registry::WorkerId> unreadableLimits_;  ///< Workers that sent unreadable limits.
   event::TimerPtr shareTimer_;
   std::size_t shareWaiters_ = 0;
   bool sharesSoon_ = false;
@@ -223,21 +228,21 @@
   WorkerSelector selector_;
   DemandTracker demand_;
   RequestQuarantine quarantine_;
-  /// By service and model, when those that come late are expected.
+  /// Expected availability of models that are loaded late, by service and model.
   std::map<std::pair<std::string, std::string>, base::TimePoint> lateModels_;
-  base::TimePoint lateModelsUntil_;  ///< The leader's word counts so long.
+  base::TimePoint lateModelsUntil_;  ///< Expiry of `lateModels_`.
   bool cutsSoon_ = false;
   event::TimerPtr demandTimer_;
   bool demandSoon_ = false;
-  base::TimePoint quietUntil_;  ///< The last report had nothing: another such one is no news.
+  base::TimePoint quietUntil_;  ///< No further empty report is sent before.
   base::TimePoint demandReportedAt_;
   base::TimePoint demandDueAt_;
   std::uint32_t gateways_ = kUnknownGateways;
   std::map<std::string, routing::RetryBudget> budgets_;             ///< By service.
   std::map<std::string, std::map<std::string, double>> rotations_;  ///< By route, by service.
-  /// By their numbers, so that those that wait are woken in the order of their arrival: in the
-  /// order of addresses the latest could take the place that the first one waits for, and no run of
-  /// the simulator could be repeated.
+  /// Ordered by number, so that waiting requests are woken in the order of their arrival: ordered
+  /// by address, the latest could take the slot that the first one waits for, and no run of the
+  /// simulator could be reproduced.
   std::map<std::uint64_t, std::unique_ptr<Exchange>> exchanges_;
   std::uint64_t lastExchange_ = 0;
   std::list<EarlyRequest> early_;
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a gateway that decides whose request it is, and whether the tenant's quota has room
-/// for it.
+/// The part of a gateway that authenticates requests and checks them against the quota of their
+/// tenant.
 
 #include <algorithm>
 #include <iterator>
@@ -18,18 +18,19 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-/// Questions within the life of a lease: it outlasts nine that stay unanswered.
+/// Renewals requested per duration of a lease: the lease survives nine unanswered ones.
 constexpr int kQuestionsPerLease = 10;
-/// A key is refused as nobody's only by a document that was the newest this short a while ago: a
-/// key that was added since would be refused too.
+/// Maximum age of the last confirmation at which an unknown key is refused for good: a key that was
+/// added since the confirmation would be refused too.
 constexpr base::Duration kRefusalAge = std::chrono::milliseconds(1500);
-/// A leader is away for about a second when it changes.
+/// Retry-After value while keys or quotas are not confirmed: a change of leader takes about a
+/// second.
 constexpr base::Duration kRetryAfterUnconfirmed = std::chrono::milliseconds(500);
 
 /// @name Requests that wait for the leader's answer about their tenant's quota
 /// @{
-/// The way to the leader and back takes some ms; what takes longer is a change of leader, which a
-/// request with a long target outwaits.
+/// Maximum wait for the answer. A round trip to the leader takes a few ms; only a change of leader
+/// takes longer, and a request with a long target latency can wait for its end.
 constexpr base::Duration kLongestWait = std::chrono::milliseconds(1500);
 constexpr std::size_t kMostUnpaid = 1024;
 constexpr std::size_t kMostCountedTenants = 100;
@@ -56,8 +57,9 @@
 
 // Keys
 
-/// The clock is read after the request has come: it may have been sent while this process stood
-/// still, long after the present turn of the loop began.
+/// Finds the tenant of a request by its key, or refuses the request. The clock is read after the
+/// request has come: it may have been sent while this process was suspended, long after the current
+/// event loop iteration began.
 const catalog::Tenant* Gateway::authenticate(RequestFacts& facts, net::ResponseSink& sink) {
   const base::TimePoint now = scheduler_.readClock();
   noteLease(now);
@@ -80,7 +82,8 @@
   return nullptr;
 }
 
-/// A metric of its own for each of the first tenants; one for all others.
+/// Counts a request of a tenant: each of the first tenants has a metric label of its own, all
+/// others share one, which bounds the number of labels.
 void Gateway::countTenant(const std::string& tenant, int status) {
   if (tenant.empty()) {
     return;
@@ -110,7 +113,8 @@
   return document_ != nullptr && lease_.valid(scheduler_.readClock()) ? documentVersion() : 0;
 }
 
-/// While no document needs keys nobody is asked.
+/// Asks the leader for the newest document version, which renews the lease. Does nothing while the
+/// document in force has no keys.
 void Gateway::askForDocument() {
   if (document_ == nullptr || !document_->keyed) {
     return;
@@ -162,7 +166,7 @@
   askForQuotaSoon();
 }
 
-/// One question for all that came within a turn.
+/// Schedules one quota request for all requests that came within an event loop iteration.
 void Gateway::askForQuotaSoon() {
   if (!std::exchange(quotaSoon_, true)) {
     scheduler_.runSoon([this] {
@@ -202,7 +206,8 @@
   }
 }
 
-/// In the order in which they came; those that the answer was not about wait for the next one.
+/// Admits or refuses the waiting requests of a tenant in the order of their arrival. Requests that
+/// the answer did not cover wait for the next one.
 void Gateway::settleUnpaid(const std::string& tenant, std::uint64_t question,
                            base::Duration retryAfter) {
   const auto found = unpaid_.find(tenant);
@@ -242,8 +247,8 @@
   }
 }
 
-/// Refuses what has waited too long: nobody leads, or the leader does not answer. It is not known
-/// to be above its quota.
+/// Refuses requests that have waited too long, because there is no leader or the leader does not
+/// answer. The refusal is 503, not 429: the tenant is not known to exceed its quota.
 void Gateway::reviewQuota() {
   const base::TimePoint now = scheduler_.now();
   std::vector<UnpaidRequest> late;
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The part of a gateway that keeps the limits that workers name, together with all others.
+/// The part of a gateway that keeps to the rate limits that workers announce, together with all
+/// other gateways.
 
 #include <algorithm>
 #include <string>
@@ -15,14 +16,15 @@
 
 using runtime::LogEvent;
 
-/// Between two questions to the leader while requests wait for its answer.
+/// Time between two share requests to the leader while requests wait for its answer.
 constexpr base::Duration kShareReview = std::chrono::milliseconds(50);
-/// Workers whose unreadable limits are remembered, so that each is logged once.
+/// Maximum number of workers whose unreadable limits are remembered, so that each is logged once.
 constexpr std::size_t kMostUnreadable = 256;
 
 }  // namespace
 
-/// @return true if a leader is followed that shares out limits; else each gateway sends on its own.
+/// @return true if the followed leader supports shared limits; otherwise each gateway sends at a
+/// rate of its own.
 bool Gateway::sharesLimits() const {
   return session_.followingWith(registry::feature::kWorkerLimits);
 }
@@ -33,7 +35,8 @@
     noteUnreadableLimit(worker, *answer.limitError);
     return;
   }
-  // Rejections are made before a worker looks at a request: only a limit that they name counts.
+  // An unsealed rejection is made before a worker looks at the request: it counts only if it
+  // announces a limit.
   const bool counts = answer.limit || answer.sealed;
   if (!counts || (!answer.limit && !limits_.any())) {
     return;
@@ -70,7 +73,7 @@
   shareTimer_->enableAt(scheduler_.now() + shareInterval());
 }
 
-/// Called before a view wakes the requests that wait.
+/// Applies the limits of a view. Called before the view wakes the waiting requests.
 void Gateway::takeLimits(const registry::ViewUpdate& update) {
   const base::TimePoint now = scheduler_.now();
   limits_.setSharing(sharesLimits(), std::max<std::uint32_t>(1, update.gateways));
@@ -88,7 +91,7 @@
   reportLimitsSoon();
 }
 
-/// One report for all that answers in a turn said.
+/// Schedules one report for the limits in all answers within an event loop iteration.
 void Gateway::reportLimitsSoon() {
   if (!std::exchange(limitsSoon_, true)) {
     scheduler_.runSoon([this] {
@@ -109,8 +112,8 @@
 
 // Shares
 
-/// The clock is read: the process may have stood still since the turn of the loop began, for longer
-/// than a share lasts.
+/// Reads the clock instead of the loop's time: the process may have been suspended since the event
+/// loop iteration began, for longer than a granted share is valid.
 ShareStanding Gateway::standing(const registry::WorkerId& worker) {
   if (!limits_.any()) {
     return ShareStanding::open;
@@ -141,7 +144,8 @@
   --shareWaiters_;
 }
 
-/// One question for all that came within a turn, after what answers said.
+/// Schedules one share request for all requests that came within an event loop iteration, sent
+/// after the report of limits in answers.
 void Gateway::askForSharesSoon() {
   if (!std::exchange(sharesSoon_, true)) {
     scheduler_.runSoon([this] {
@@ -185,7 +189,7 @@
   }
 }
 
-/// The most urgent first, and of these the first to come.
+/// Wakes the exchanges that wait for a share: by priority, and by arrival among equal priorities.
 void Gateway::wakeShareWaiters() {
   std::vector<std::pair<std::uint32_t, std::uint64_t>> waiters;
   for (const auto& [number, exchange] : exchanges_) {
--- a/src/gateway/key_table.h
+++ b/src/gateway/key_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which tenant a key belongs to.
+/// Finds the tenant that an API key belongs to.
 
 #include <memory>
 #include <string_view>
@@ -10,7 +10,7 @@
 
 namespace walnut::gateway {
 
-/// Index over the tenants of one document, which it keeps alive.
+/// Index of the keys of one document's tenants. It keeps the document alive.
 class KeyTable {
  public:
   explicit KeyTable(std::shared_ptr<const catalog::Document> document)
@@ -22,7 +22,7 @@
     }
   }
 
-  /// @return nullptr if the key is nobody's.
+  /// @return the tenant of the key, or nullptr if no tenant has it.
   const catalog::Tenant* find(std::string_view key) const {
     const auto found = tenants_.find(key);
     return found == tenants_.end() ? nullptr : found->second;
--- a/src/gateway/pooled_launcher.h
+++ b/src/gateway/pooled_launcher.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Attempts over pooled HTTP connections.
+/// Sends the attempts of requests over pooled HTTP connections.
 
 #include "gateway/exchange.h"
 #include "net/client_pool.h"
--- a/src/gateway/quota_account.cpp
+++ b/src/gateway/quota_account.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-/// Of the mean spending here, held ahead: somewhat longer than a change of leader takes. Nothing is
-/// held ahead of a tenant whose requests come here less often than that.
+/// Seconds of mean spending that are held in advance: somewhat longer than a change of leader
+/// takes. Nothing is held in advance for a tenant whose requests come here less often than that.
 constexpr double kAheadSeconds = 1.5;
 constexpr double kMeanWeight = 0.2;
-/// After an answer that told of too little.
+/// Time after a grant of less than needed during which the owner counts as short of quota.
 constexpr base::Duration kShortFor = std::chrono::seconds(2);
-/// A leader answers within some ms, or has lost its lease and drops the question.
+/// Time after which an unanswered request is replaced: a leader answers within a few ms, or has
+/// lost its lease and drops the request.
 constexpr base::Duration kAnswerPatience = std::chrono::milliseconds(250);
-/// After a leader's word that there is too little it is not asked again for the same.
+/// Time for which the leader's answer that quota is short is trusted, without asking again.
 constexpr base::Duration kShortTrust = std::chrono::milliseconds(100);
-/// After a request that could have gone to an owner one unit is held ahead.
+/// Time after the last demand for an owner during which one unit is held in advance.
 constexpr base::Duration kWantedFor = std::chrono::seconds(1);
-/// An owner without a request for so long is asked for no more.
+/// Time without a request after which an owner is removed.
 constexpr base::Duration kForgottenAfter = std::chrono::seconds(10);
 
 }  // namespace
@@ -82,7 +83,7 @@
   return found->second.moreAt - now;
 }
 
-/// While the tenant's quota is used up nothing is held without need: it would be missed elsewhere.
+/// While the tenant's quota is exhausted nothing is held in advance: other gateways need it.
 bool QuotaAccount::isShort(const Account& account, base::TimePoint now) {
   return account.wasShort && now < account.shortAt + kShortFor;
 }
--- a/src/gateway/quota_account.h
+++ b/src/gateway/quota_account.h
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// What this gateway may let through of tenants' quotas and of workers' limits, as the registry's
-/// leader granted it.
+/// Granted shares of tenants' quotas and of workers' limits at this gateway.
 
 #include <deque>
 #include <map>
@@ -14,61 +13,65 @@
 
 namespace walnut::gateway {
 
-/// What is asked for beyond the need.
+/// How much is requested in advance, beyond the present need.
 enum class AheadOfNeed : std::uint8_t {
-  bySpending,  ///< What is spent in some time.
-  oneUnit,     ///< One, of owners that were wanted a short while ago.
+  bySpending,  ///< The mean spending over a fixed time.
+  oneUnit,     ///< One unit, for owners that were requested recently.
 };
 
-/// The gateway's side of registry/quota_ledger.h. A request is paid from what is held; if that is
-/// too little, the leader is asked for what is missing, and for some ahead if the owner's requests
-/// come often here. One question is open at a time.
+/// The units of quota that this gateway holds for each owner (a tenant or a limited worker): the
+/// counterpart of registry/quota_ledger.h. The cost of a request is taken from the held units. If
+/// these are too few, the missing units are requested from the leader, and some in advance if
+/// requests of the owner come here often. One request to the leader is open at a time.
 class QuotaAccount {
  public:
   QuotaAccount() = default;
   explicit QuotaAccount(AheadOfNeed ahead) : ahead_(ahead) {}
 
-  /// How often the leader is asked without need: keeps what is held from ending.
+  /// Interval of requests to the leader without need, which renew the held units before they
+  /// expire.
   static constexpr base::Duration kInterval = std::chrono::milliseconds(500);
 
-  /// @return true if it was paid from what is held.
+  /// Takes the cost of a request from the held units.
+  /// @return false if too few are held.
   bool take(const std::string& owner, double cost, base::TimePoint now);
-  /// The request did not run.
+  /// Returns the cost of a request that was not executed.
   void giveBack(const std::string& owner, double cost, base::TimePoint now);
   /// @return true if `take` would succeed.
   bool covers(const std::string& owner, double cost, base::TimePoint now) const;
-  /// A request could have gone to that owner.
+  /// Records demand for an owner: a request could be sent there.
   void noteWanted(const std::string& owner, base::TimePoint now);
-  /// @return until more can be had, as the leader said a moment ago; nothing if it may be asked.
+  /// @return the time until more units are available, as the leader answered recently; nothing if a
+  /// request to the leader makes sense.
   std::optional<base::Duration> shortFor(const std::string& owner, base::TimePoint now) const;
   void forget(const std::string& owner) { accounts_.erase(owner); }
 
-  /// @name A request that could not be paid waits for an answer, or no longer
+  /// @name Requests that wait for units from the leader
   /// @{
   void waitBegan(const std::string& owner, double cost);
   void waitEnded(const std::string& owner, double cost);
   /// @}
 
-  /// @param all also of owners for which nobody waits.
-  /// @return the next question; nothing while one is open, or if there is nothing to ask.
+  /// @param all true: also for owners for which no request waits.
+  /// @return the next request to the leader; nothing while one is open or if nothing is needed.
   std::optional<registry::QuotaRequest> ask(bool all, base::TimePoint now);
-  /// @return true if that was the open question.
+  /// @return true if the grant answers the open request.
   bool granted(const registry::QuotaGrant& grant, base::TimePoint now);
-  /// Nobody answers any more: the next leader is asked anew.
+  /// Drops the open request, which will not be answered any more, so that the next leader is asked.
   void leaderLost() { open_.reset(); }
-  /// @return true if no owner has had a request lately.
+  /// @return true if no owner has had a request recently.
   bool empty() const { return accounts_.empty(); }
 
  private:
   struct Account {
     double held = 0;
-    base::TimePoint until;     ///< When what is held ends.
-    std::deque<double> needs;  ///< Of requests that wait, in their order.
-    base::TimePoint shortAt;   ///< When the leader last had less than was needed.
+    base::TimePoint until;     ///< Expiry of the held units.
+    std::deque<double> needs;  ///< Costs of waiting requests, in order of arrival.
+    base::TimePoint shortAt;   ///< When the leader last granted less than needed.
     bool wasShort = false;
-    base::TimePoint moreAt;           ///< When more can be had, as the leader last said.
-    double meanCost = 0;              ///< Of a request.
-    registry::DecayingRate spending;  ///< Units a second.
+    base::TimePoint moreAt;           ///< When more is available, by the leader's last answer.
+    double meanCost = 0;              ///< Mean cost of a request.
+    registry::DecayingRate spending;  ///< In units per second.
     base::TimePoint usedAt;
   };
   struct Question {
@@ -79,10 +82,10 @@
 
   static bool isShort(const Account& account, base::TimePoint now);
   static void expire(Account& account, base::TimePoint now);
-  /// What is held beyond the need, as it should be.
+  /// Target and upper bound of the units held beyond the present need.
   struct Reserve {
     double wanted = 0;
-    double most = 0;  ///< What is held beyond this is given back.
+    double most = 0;  ///< Units beyond this are returned to the leader.
   };
   Reserve reserveOf(const Account& account, base::TimePoint now) const;
   registry::QuotaClaim claimOf(const std::string& owner, Account& account,
--- a/src/gateway/registry_follower.cpp
+++ b/src/gateway/registry_follower.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A gateway that knows of a newer document gets some of it within this: a leader sends a part to
-/// each of 400 gateways in half a second (DocumentSender).
+/// Time within which a gateway that knows of a newer document gets a part of it: a leader sends a
+/// part to each of 400 gateways in half a second (DocumentSender).
 constexpr base::Duration kDocumentPatience = std::chrono::milliseconds(1500);
 
 }  // namespace
@@ -21,7 +21,8 @@
                     message.body);
 }
 
-/// A view of another connection than the followed one is not decoded: it would spoil the names.
+/// Decodes and applies a view. A view of another connection than the followed one is not decoded:
+/// that would corrupt the decoder's table of names.
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::PackedView& packed) {
   if (!session_.asks(connection)) {
@@ -137,7 +138,7 @@
   session_.subscribeAgain();
 }
 
-/// The document is asked for as a whole: the delta may be what is wrong.
+/// Subscribes again for the whole document, as the delta may be at fault.
 void RegistryFollower::refuseDocument(const registry::DocumentPart& part,
                                       const base::Error& error) {
   log_.write(LogEvent::documentRefused, {{"version", part.version},
--- a/src/gateway/registry_follower.h
+++ b/src/gateway/registry_follower.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Hands the registry's messages to the session and to the gateway.
+/// Dispatches the registry's messages to the session and to the gateway.
 
 #include <optional>
 
@@ -11,16 +11,17 @@
 
 namespace walnut::gateway {
 
-/// Invariant: a gateway that knows of a newer document takes it, or asks again.
-/// Decides which message changes what the gateway believes: only what the server says that it
-/// follows, which is a leader with a valid lease. Nothing else is believed, also after a restart.
+/// Decides which messages of registry servers change the gateway's state: only those of the server
+/// that the session follows, which is a leader with a valid lease. Messages of other servers are
+/// ignored, also after a restart. Invariant: a gateway that knows of a newer document receives it,
+/// or subscribes again.
 class RegistryFollower {
  public:
   RegistryFollower(const event::Scheduler& scheduler, RegistrySession& session, Gateway& gateway,
                    runtime::EventLog& log)
       : scheduler_(scheduler), session_(session), gateway_(gateway), log_(log) {}
 
-  /// @return true if the gateway took something from the message.
+  /// @return true if the message changed the gateway's state.
   bool messageReceived(protocol::ConnectionId connection, const registry::RegistryMessage& message);
 
  private:
@@ -35,7 +36,7 @@
   bool receive(protocol::ConnectionId connection, const registry::ShareGrant& grant);
   template <class Other>
   bool receive(protocol::ConnectionId, const Other&) {
-    return false;  // For servers only.
+    return false;  // A message for servers only.
   }
   void refuseDocument(const registry::DocumentPart& part, const base::Error& error);
 
@@ -47,9 +48,9 @@
   runtime::EventLog& log_;
   DocumentReceiver receiver_;
   registry::ViewDecoder viewDecoder_;
-  /// When a newer document was told of, or a part of it came.
+  /// When a newer document was announced, or a part of it last came.
   std::optional<base::TimePoint> documentMovedAt_;
-  /// Has told of suspects, and sent no view yet.
+  /// Connection that has sent a list of suspects, but no view yet.
   std::optional<protocol::ConnectionId> suspectsFrom_;
 };
 
--- a/src/gateway/registry_session.cpp
+++ b/src/gateway/registry_session.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Doublings of the pause that are told apart; more would be beyond its bound.
+/// Limit of the doublings of the backoff: more would exceed its upper bound.
 constexpr std::uint32_t kMaxDoublings = 8;
 
 }  // namespace
@@ -65,7 +65,8 @@
   link_.open(server_);
 }
 
-/// Gateways that lost the leader together don't come back together.
+/// Returns the next backoff with random jitter, so that gateways that lost the leader together
+/// don't reconnect together.
 base::Duration RegistrySession::drawPause() {
   const std::uint32_t doublings =
       std::min(fruitlessRounds_ > 0 ? fruitlessRounds_ - 1 : 0, kMaxDoublings);
@@ -84,8 +85,9 @@
   if (connection_) {
     link_.close(*std::exchange(connection_, std::nullopt));
   }
-  // A server that names the leader is no waste of time: that one is asked at once. Not so if it was
-  // itself asked on another's word: during an election two servers may name each other.
+  // A leader named by another server is contacted at once, without backoff, unless that server was
+  // itself contacted because another one had named it: during an election two servers may name each
+  // other as the leader.
   const bool atOnce = hint_ && !asksHinted_;
   enter(State::searching, atOnce ? base::Duration::zero() : drawPause());
 }
--- a/src/gateway/registry_session.h
+++ b/src/gateway/registry_session.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Finds the registry's leader and stays subscribed to it. Decides only; the driver connects.
+/// Finds the registry's leader and stays subscribed to it. Contains the decisions only; the driver
+/// manages connections.
 
 #include <optional>
 #include <string>
@@ -16,17 +17,19 @@
 namespace walnut::gateway {
 
 struct RegistrySessionOptions {
-  std::vector<base::Endpoint> servers;  ///< To begin with; more are learned.
+  std::vector<base::Endpoint> servers;  ///< Initial servers; more are learned.
   base::Duration connectTimeout = std::chrono::milliseconds(400);
-  /// The leader tells something each quarter of a second.
+  /// Time without a message after which the server is considered lost: the leader sends one each
+  /// quarter of a second.
   base::Duration silenceLimit = std::chrono::milliseconds(900);
   base::Duration retryPause = std::chrono::milliseconds(60);
-  /// The pause doubles with each round over all servers that found no leader, up to this: below the
-  /// least time that an election takes, so that its end is soon known.
+  /// Upper bound of the backoff, which doubles with each round over all servers that found no
+  /// leader. It is below the minimum duration of an election, so that the end of one is noticed
+  /// soon.
   base::Duration retryPauseMax = std::chrono::milliseconds(400);
 };
 
-/// What the session needs of its driver.
+/// Interface to the driver, which manages the connections.
 class RegistryLink {
  public:
   virtual ~RegistryLink() = default;
@@ -36,9 +39,9 @@
   virtual void send(protocol::ConnectionId connection, registry::MessageBody message) = 0;
 };
 
-/// States: searching (no server asked) -> connecting -> asking (subscribed, nothing heard) ->
-/// following (views come in) -> searching. One server is asked at a time; one that doesn't lead
-/// names the leader.
+/// Client state machine that subscribes to the registry's leader. States: searching (no server
+/// selected) -> connecting -> asking (subscribed, no view received) -> following (views come in) ->
+/// searching. One server is contacted at a time; a server that is not the leader names the leader.
 class RegistrySession {
  public:
   enum class State : std::uint8_t { searching, connecting, asking, following };
@@ -47,12 +50,13 @@
                   RegistryLink& link, runtime::EventLog& log, std::uint64_t seed);
 
   void start();
-  /// Other servers to begin with, as of changed settings.
+  /// Replaces the initial servers after a change of the settings.
   void setServers(std::vector<base::Endpoint> servers) { options_.servers = std::move(servers); }
-  /// What a server is told first: the document that the gateway holds, and what it has of a newer.
+  /// Sets the subscription that is sent first on each connection: the version of the held document,
+  /// and how much of a newer one has been received.
   void setSubscription(const registry::Subscribe& subscription) { subscription_ = subscription; }
 
-  /// @param featureLevel that the server knows (registry/feature_level.h).
+  /// @param featureLevel supported by the server (registry/feature_level.h).
   void opened(protocol::ConnectionId connection, const base::Endpoint& server,
               std::uint32_t featureLevel);
   void openFailed(const base::Endpoint& server);
@@ -60,18 +64,19 @@
   void notLeading(protocol::ConnectionId connection, const registry::NotLeading& message);
   /// @return false if the update is not from the server that is followed.
   bool viewReceived(protocol::ConnectionId connection, const registry::ViewUpdate& update);
-  /// @return true if views on that connection are from the server that is asked or followed.
+  /// @return true if the connection is to the server that is asked or followed.
   bool asks(protocol::ConnectionId connection) const { return connection_ == connection; }
-  /// Bytes of a document came, which show as well as a view that the leader is there.
+  /// Counts bytes of a document as a sign of life of the leader, like a view.
   /// @return false if they are not from the server that is followed.
   bool partReceived(protocol::ConnectionId connection);
-  /// What the followed server sent can't be taken: it is asked anew.
+  /// Ends the connection and subscribes anew, because a message of the followed server can't be
+  /// used.
   void subscribeAgain();
 
-  /// To the leader; lost if none is followed.
+  /// Sends a message to the leader, or drops it if none is followed.
   void send(registry::MessageBody message);
   bool following() const { return state_ == State::following; }
-  /// @return true if a leader is followed that knows that level.
+  /// @return true if the followed server is a leader that supports the feature level.
   bool followingWith(std::uint32_t featureLevel) const {
     return following() && featureLevel_ >= featureLevel;
   }
@@ -93,14 +98,14 @@
   event::TimerPtr timer_;
   State state_ = State::searching;
   std::vector<base::Endpoint> learned_;
-  std::vector<base::Endpoint> untried_;  ///< Of the present search, in a drawn order.
-  std::optional<base::Endpoint> hint_;   ///< Where the leader is said to be.
+  std::vector<base::Endpoint> untried_;  ///< In the present search, in random order.
+  std::optional<base::Endpoint> hint_;   ///< The leader, as named by another server.
   base::Endpoint server_;
-  bool asksHinted_ = false;  ///< `server_` is asked because another one named it.
+  bool asksHinted_ = false;  ///< `server_` was named as the leader by another server.
   std::optional<protocol::ConnectionId> connection_;
-  std::uint32_t featureLevel_ = 0;  ///< Of the server at the end of the connection.
+  std::uint32_t featureLevel_ = 0;  ///< Of the connected server.
   registry::Subscribe subscription_;
-  std::uint32_t fruitlessRounds_ = 0;  ///< Over all servers, since one was followed.
+  std::uint32_t fruitlessRounds_ = 0;  ///< Search rounds since a leader was last followed.
   base::TimePoint lostAt_;
   bool lost_ = true;
 };
--- a/src/gateway/request_digest.cpp
+++ b/src/gateway/request_digest.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// The length goes first, so that no two requests have the same bytes together.
+/// Adds one part of a request to the digest. The length goes first, so that different parts never
+/// yield the same sequence of bytes.
 void update(Poco::SHA2Engine& engine, std::string_view part) {
   const auto length = static_cast<std::uint64_t>(part.size());
   engine.update(&length, sizeof(length));
--- a/src/gateway/request_digest.h
+++ b/src/gateway/request_digest.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Tells a request that is sent again from others, whatever its id.
+/// Digest that identifies a request when its caller sends it again, whatever the request id.
 
 #include <string_view>
 
@@ -9,9 +9,10 @@
 
 namespace walnut::gateway {
 
-/// @param caller whose request it is: a tenant, or what else tells callers apart; never a key.
-/// @return what the request is known by when it is sent again: its caller, method, path and body.
-/// Reads the whole body.
+/// @param caller identifies the caller: a tenant, or another property that distinguishes callers;
+/// never a key.
+/// @return the digest of caller, method, path and body, which stays the same when the request is
+/// sent again. Reads the whole body.
 registry::RequestDigest digestOf(std::string_view caller, const net::HttpRequest& request);
 
 }  // namespace walnut::gateway
--- a/src/gateway/request_quarantine.h
+++ b/src/gateway/request_quarantine.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a gateway knows of requests that crash the workers that run them.
+/// The gateway's part in the quarantine of requests that crash the workers that run them.
 
 #include <cstdint>
 #include <deque>
@@ -12,9 +12,10 @@
 
 namespace walnut::gateway {
 
-/// The leader decides from the reports of all gateways (registry/crash_monitor.h); what it told of
-/// last is kept while there is no leader. Reports are kept too: a leader that is new to this
-/// gateway may not have the ones of before, and gets them again.
+/// Keeps the classification of suspect requests that the leader has sent, and the cut requests that
+/// are reported to it. The leader classifies requests from the reports of all gateways
+/// (registry/crash_monitor.h). Its last list is kept while there is no leader. Reports are kept
+/// too: a newly followed leader may not have the earlier ones, and gets them again.
 class RequestQuarantine {
  public:
   struct Verdict {
@@ -23,25 +24,27 @@
     base::TimePoint until;
   };
 
-  /// The leader's word: replaces what it told of before.
+  /// Replaces the classifications by the leader's list.
   void take(const registry::SuspectList& list, base::TimePoint now);
-  /// The first view of a leader came.
-  /// @param told whether it has told of suspects before: else there are none.
+  /// Called when the first view of a newly followed leader has come.
+  /// @param told true if the leader has sent a list of suspect requests before the view: otherwise
+  /// there are none.
   void leaderFollowed(bool told);
 
-  /// @return true if requests have to be looked up. On most days there is nothing to look up, and
-  /// nothing to compute for it.
+  /// @return true if requests have to be looked up. Usually there are no suspects, and no digest
+  /// has to be computed.
   bool watching() const { return !verdicts_.empty(); }
-  /// @return nothing if the request is like any other.
+  /// @return the classification of a request; nothing if it is not suspect.
   std::optional<Verdict> find(const registry::RequestDigest& request, base::TimePoint now) const;
 
-  /// @name To be reported
+  /// @name Reports to the leader
   /// @{
-  /// @param begun the head of its answer had come.
+  /// Records a request whose connection was cut.
+  /// @param begun true if the head of the response had come.
   void cut(const registry::RequestDigest& request, const registry::WorkerId& worker, bool begun,
            base::TimePoint now);
   void answered(const registry::RequestDigest& request);
-  /// @return what the leader was not told of yet; nothing if there is none.
+  /// @return what has not been reported to this leader yet; nothing if there is none.
   std::optional<registry::CutReport> takeReport(base::TimePoint now);
   /// @}
 
@@ -54,7 +57,8 @@
     bool told = false;
   };
 
-  /// Callers come back within seconds, a leader is found within some more.
+  /// Time for which cut requests are kept: callers send a request again within seconds, and a
+  /// leader is found within a few more.
   static constexpr base::Duration kCutsLast = std::chrono::seconds(60);
   static constexpr std::size_t kMostCuts = 512;
 
--- a/src/gateway/retry_after.h
+++ b/src/gateway/retry_after.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// How a caller is told when to come back.
+/// Formats the Retry-After field of a response.
 
 #include <Poco/NumberFormatter.h>
 
@@ -10,7 +10,7 @@
 
 namespace walnut::gateway {
 
-/// @return the value of a Retry-After field, in seconds with their fraction.
+/// @return the value of a Retry-After field, in seconds with two decimals.
 inline std::string retryAfterText(base::Duration duration) {
   constexpr int kDecimals = 2;
   return Poco::NumberFormatter::format(std::chrono::duration<double>(duration).count(), kDecimals);
--- a/src/gateway/worker_directory.cpp
+++ b/src/gateway/worker_directory.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kSampleWeight = 0.2;
 constexpr double kFadeSeconds = 4.0;
-/// Requests at a worker whose queue is full, as a multiple of its slots, at the least: queues are
-/// as long as the slots or longer on all deployments seen.
+/// Minimum number of requests at a worker whose queue is full, as a multiple of its slots: in all
+/// known deployments the queue has at least as many places as there are slots.
 constexpr std::uint32_t kFullQueueFactor = 2;
 
 }  // namespace
--- a/src/gateway/worker_directory.h
+++ b/src/gateway/worker_directory.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The workers that a gateway knows of: what the registry says of them, and what this gateway sees.
+/// Directory of the known workers: their state by the registry, and this gateway's own
+/// observations.
 
 #include <map>
 #include <memory>
@@ -14,8 +15,8 @@
 
 namespace walnut::gateway {
 
-/// Share of failures among recent attempts. Fades with time, so that a worker that is not chosen
-/// any more is tried again.
+/// Fraction of failures among recent attempts. Decays with time, so that a worker that is no longer
+/// selected gets requests again.
 class FailureShare {
  public:
   void observe(bool failed, base::TimePoint now);
@@ -26,43 +27,48 @@
   base::TimePoint updatedAt_;
 };
 
-/// One worker. The registry's part is replaced by each update; the rest is this gateway's own.
+/// A worker as known at this gateway. The registry's part is replaced by each update; the rest is
+/// observed by this gateway.
 class Worker {
  public:
   explicit Worker(registry::WorkerView initial) : view(std::move(initial)) {}
 
   registry::WorkerView view;
-  std::uint32_t running = 0;                            ///< Requests of this gateway.
-  std::map<std::string, std::uint32_t> runningByModel;  ///< The same; none at 0.
-  std::uint32_t runningInAll = 0;                       ///< Requests of all gateways, as last told.
+  std::uint32_t running = 0;                            ///< In-flight requests of this gateway.
+  std::map<std::string, std::uint32_t> runningByModel;  ///< The same by model; without zeros.
+  std::uint32_t runningInAll = 0;                       ///< Those of all gateways, as reported.
   std::uint32_t runningElsewhere = 0;                   ///< Those of other gateways.
   routing::CircuitBreaker breaker;
-  routing::MovingAverage latency;  ///< To the head of an answer, or to a stream's first event.
+  routing::MovingAverage latency;  ///< To the response head, or to a stream's first event.
   FailureShare failures;
 
-  /// @return true if it is known to hold the model; always for a plain service (no model).
+  /// @return true if the worker is known to hold the model and adapter; always true for a plain
+  /// service (no model).
   bool holds(const std::string& model, const std::string& adapter, base::TimePoint now) const;
-  /// @name A request of this gateway begins or ends there
+  /// @name Begin and end of a request of this gateway at the worker
   /// @{
   void began(const std::string& model);
   void ended(const std::string& model);
   /// @}
 
-  /// @return requests of all gateways that are there, as far as is known.
+  /// @return the number of requests of all gateways at the worker, as far as known.
   std::uint32_t runningTogether() const { return running + runningElsewhere; }
-  /// @return true if all its slots are taken, as far as is known; never if it did not tell of any.
+  /// @return true if all slots are taken, as far as known; false for a worker without a known
+  /// number of slots.
   bool full() const { return view.record.slots > 0 && runningTogether() >= view.record.slots; }
-  /// The worker said that its queue is full as well: believed until the next view.
+  /// Records the worker's answer that its queue is full as well. It counts until the next view.
   void saidFull();
 
-  /// The worker said that it does not hold it: not to be asked again for a while.
+  /// Records the worker's answer that it does not hold the model or adapter. No such request is
+  /// sent there until the given time.
   void missed(const std::string& model, const std::string& adapter, base::TimePoint until);
 
  private:
   std::map<std::pair<std::string, std::string>, base::TimePoint> missedUntil_;
 };
 
-/// Entries stay valid while somebody holds them, also when the worker is gone.
+/// The workers by id. An entry stays valid while it is referenced, also after the worker was
+/// removed.
 class WorkerDirectory {
  public:
   using WorkerPtr = std::shared_ptr<Worker>;
@@ -70,9 +76,9 @@
   void apply(const registry::ViewUpdate& update);
 
   const std::map<registry::WorkerId, WorkerPtr>& workers() const { return workers_; }
-  /// @return workers that may get new work for a service.
+  /// @return workers that may get new requests for a service.
   std::vector<WorkerPtr> candidates(const std::string& service) const;
-  /// @return keys of workers that have gone since the last call.
+  /// @return ids of workers that were removed since the last call.
   std::vector<registry::WorkerId> takeGone() { return std::exchange(gone_, {}); }
 
  private:
--- a/src/gateway/worker_limits.cpp
+++ b/src/gateway/worker_limits.cpp
@@ -7,17 +7,20 @@
 
 namespace {
 
-/// Of a limit, what all gateways together send while nobody shares it out. With what a leader that
-/// has just ended, or only some of them follow, has granted besides, the sum stays within one and a
-/// half times the limit.
+/// Fraction of a limit that all gateways together send while no leader divides it. With the shares
+/// granted besides by a leader that has just ended, or that only some gateways follow, the sum
+/// stays within one and a half times the limit.
 constexpr double kUnsharedShare = 0.4;
-/// And at the least, in requests a second: somebody has to hear of the end of a low limit.
+/// Lower bound of that rate, in requests per second, so that some gateway gets an answer that shows
+/// the end of a low limit.
 constexpr double kLeastUnshared = 0.1;
-/// Between two reports of answers without a limit, of one worker: the leader answers by a view.
+/// Time between two reports of answers without a limit from one worker: the leader responds with a
+/// view.
 constexpr base::Duration kEndSpacing = std::chrono::milliseconds(200);
 constexpr base::Duration kShortestRetryAfter = std::chrono::milliseconds(50);
 constexpr base::Duration kLongestRetryAfter = std::chrono::seconds(8);
-/// Callers that are refused together are asked back over a time that is longer by up to this share.
+/// Relative random increase of Retry-After, so that callers refused together do not return
+/// together.
 constexpr double kRetrySpread = 0.5;
 
 base::Duration toDuration(double seconds) {
@@ -74,7 +77,8 @@
   return Change{worker, perSecond, former};
 }
 
-/// Where a leader is followed its word ends the limit, for all gateways at the same time.
+/// Processes an answer without a limit. If a leader is followed, only the leader ends the limit,
+/// for all gateways at the same time.
 std::optional<WorkerLimits::Change> WorkerLimits::notNamed(const registry::WorkerId& worker,
                                                            base::TimePoint sentAt,
                                                            base::TimePoint now) {
@@ -98,7 +102,7 @@
                                                        base::TimePoint now) {
   const auto found = limits_.find(worker);
   if (!perSecond) {
-    // What the leader has not heard of yet goes on.
+    // A limit that has not been reported to the leader yet stays in force.
     return found != limits_.end() && found->second.toldByLeader ? erase(worker) : std::nullopt;
   }
   const std::optional<double> former = limitOf(worker);
--- a/src/gateway/worker_limits.h
+++ b/src/gateway/worker_limits.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The limits that workers name, as this gateway knows them, and what it may send within them.
+/// The rate limits that workers announce, as known at this gateway, and what it may send within
+/// them.
 
 #include <map>
 #include <optional>
@@ -14,14 +15,14 @@
 
 namespace walnut::gateway {
 
-/// What a gateway sends to a limited worker while no leader shares out its limit: a request each
-/// period, at a phase of its own. One that is not used within `kUsableFor` is lost, so that many
-/// gateways that were idle do not send together.
+/// Rate limiter for a worker whose limit no leader divides among the gateways: permits one request
+/// each period, at a random phase per gateway. A permit not used within `kUsableFor` is lost, so
+/// that many gateways that were idle do not send at the same time.
 class UnsharedRate {
  public:
   static constexpr base::Duration kUsableFor = std::chrono::seconds(1);
 
-  /// @param phase in 0..1, drawn.
+  /// @param phase random, in 0..1.
   UnsharedRate(base::Duration period, double phase, base::TimePoint now);
 
   bool allows(base::TimePoint now);
@@ -35,12 +36,13 @@
   base::TimePoint next_;
 };
 
-/// The gateway's side of registry/worker_limit_book.h. A worker's limit is known from its own
-/// answers, and from the leader, whose word replaces that.
+/// The rate limits of workers at one gateway: the counterpart of registry/worker_limit_book.h. A
+/// worker's limit is known from its own answers and from the leader, whose value replaces that of
+/// the answers.
 ///
-/// Invariants: each request to a limited worker is paid for, by a share that the leader granted or
-/// by the gateway's `UnsharedRate`; no limit ends by an answer to a request that was sent before an
-/// answer that named it.
+/// Invariants: each request to a limited worker is taken from a share that the leader granted or
+/// from the gateway's `UnsharedRate`; no limit ends by an answer to a request that was sent before
+/// an answer that announced the limit.
 class WorkerLimits {
  public:
   explicit WorkerLimits(std::uint64_t seed) : random_(seed), shares_(AheadOfNeed::oneUnit) {}
@@ -52,54 +54,54 @@
     std::optional<double> former;
   };
 
-  /// @name What is known
+  /// @name Known limits
   /// @{
   bool any() const { return !limits_.empty(); }
   std::optional<double> limitOf(const registry::WorkerId& worker) const;
-  /// An answer came to a request that was sent at `sentAt`.
-  /// @param perSecond absent: the answer names no limit.
+  /// Processes an answer of the worker to a request that was sent at `sentAt`.
+  /// @param perSecond limit in the answer; absent if it announces none.
   std::optional<Change> answered(const registry::WorkerId& worker,
                                  const std::optional<double>& perSecond, base::TimePoint sentAt,
                                  base::TimePoint now);
-  /// The followed leader's word.
+  /// Processes a limit announced by the followed leader; absent: the leader knows of none.
   std::optional<Change> told(const registry::WorkerId& worker,
                              const std::optional<double>& perSecond, base::TimePoint now);
-  /// The followed leader knows of no limit.
+  /// Ends a limit of which the followed leader knows nothing.
   std::optional<Change> unlimited(const registry::WorkerId& worker);
   void forget(const registry::WorkerId& worker);
   template <class Predicate>
   void forgetIf(const Predicate& gone);
-  /// Another leader is followed, which is told all that is known.
+  /// Prepares a report of all known limits for a newly followed leader.
   void leaderFollowed();
-  /// @return what the leader is to be told.
+  /// @return the limits that have not been reported to the leader yet; nothing if there are none.
   std::optional<registry::LimitReport> takeReport(base::TimePoint now);
   /// @}
 
-  /// @name What may be sent
+  /// @name Permits to send
   /// @{
-  /// @param shared a leader shares out the limits.
-  /// @param gateways that send to the worker besides, if none does.
+  /// @param shared true if a leader divides the limits among the gateways.
+  /// @param gateways number of gateways that send to a worker if no leader divides its limit.
   void setSharing(bool shared, std::uint32_t gateways);
   ShareStanding standing(const registry::WorkerId& worker, base::TimePoint now);
-  /// @return until a request may be sent there, of a worker whose share is spent.
+  /// @return the time until a request may be sent, for a worker whose share is spent.
   base::Duration retryAfter(const registry::WorkerId& worker, base::TimePoint now);
-  /// A request is sent to the worker, which has no limit or whose share is there.
+  /// Takes the permit of a request that is sent to the worker, where `standing` is open.
   void take(const registry::WorkerId& worker, base::TimePoint now);
   void waitBegan(const registry::WorkerId& worker) { shares_.waitBegan(worker.value, 1); }
   void waitEnded(const registry::WorkerId& worker) { shares_.waitEnded(worker.value, 1); }
-  /// @return the next question to the leader; nothing if there is none.
+  /// @return the next share request to the leader; nothing if there is none.
   std::optional<registry::ShareRequest> ask(bool all, base::TimePoint now);
-  /// @return true if that was the open question.
+  /// @return true if the grant answers the open request.
   bool granted(const registry::ShareGrant& grant, base::TimePoint now);
   /// @}
 
  private:
   struct Limit {
     registry::NamedLimit named;
-    base::TimePoint lastNamedAt;  ///< By an answer, or by the leader.
-    bool toldByLeader = false;    ///< By the one that is followed.
-    base::TimePoint endToldAt;    ///< When the leader was told of an answer without a limit.
-    std::optional<UnsharedRate> unshared;  ///< While nobody shares the limit out.
+    base::TimePoint lastNamedAt;           ///< In an answer, or by the leader.
+    bool toldByLeader = false;             ///< By the followed leader.
+    base::TimePoint endToldAt;             ///< Last report of an answer without a limit.
+    std::optional<UnsharedRate> unshared;  ///< Used without a leader.
   };
 
   std::optional<Change> named(const registry::WorkerId& worker, double perSecond,
@@ -111,7 +113,7 @@
   void noteSighting(const registry::WorkerId& worker, const std::optional<double>& perSecond,
                     base::TimePoint sentAt, base::TimePoint answeredAt);
 
-  /// An answer that the leader has not been told of.
+  /// A limit, or its absence, in an answer that has not been reported to the leader.
   struct Sighting {
     std::optional<double> perSecond;
     base::TimePoint sentAt;
--- a/src/gateway/worker_selector.cpp
+++ b/src/gateway/worker_selector.cpp
@@ -8,18 +8,20 @@
 namespace {
 
 constexpr std::size_t kMaxPrompts = 4096;
-/// Parts of a prompt that decide the affinity: beyond them it belongs to one request alone.
+/// Number of leading prompt parts that decide the affinity: later parts are specific to one
+/// request.
 constexpr std::size_t kSharedParts = 2;
-/// Expected time of a worker with all slots taken, as a multiple of that of an idle one.
+/// Expected time at a worker with all slots taken, as a multiple of that at an idle one.
 constexpr double kFullFactor = 4.0;
 constexpr double kOtherZoneFactor = 1.12;
 constexpr double kKnownPromptFactor = 0.85;
 constexpr double kNewConnectionFactor = 1.2;
 constexpr double kFailureFactor = 6.0;
 constexpr double kSilentFactor = 20.0;
-constexpr double kDefaultLatency = 0.05;  ///< In seconds, until any was observed.
+constexpr double kDefaultLatency = 0.05;  ///< In seconds, until a latency is observed.
 constexpr double kDefaultSlots = 8.0;
-/// Latencies count less than in proportion: they also depend on the requests.
+/// Weight of the typical latency in the cost of a worker: a worker's own latency counts less than
+/// proportionally, because it also depends on the requests.
 constexpr double kLatencyFloor = 0.3;
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -148,7 +150,8 @@
   return best;
 }
 
-/// What waits there begins as what runs ends: a slot is free each slot time / slots.
+/// Returns the expected queueing time at a worker. Queued requests begin as running ones end: on
+/// average a slot becomes free each (slot time / number of slots).
 base::Duration WorkerSelector::expectedWait(const std::string& service,
                                             const Worker& worker) const {
   const auto slotTime = slotTimes_.find(service);
--- a/src/gateway/worker_selector.h
+++ b/src/gateway/worker_selector.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which worker a request goes to.
+/// Load balancing: selects the worker that a request is sent to.
 
 #include <functional>
 #include <list>
@@ -17,55 +17,58 @@
 
 namespace walnut::gateway {
 
-/// Why no worker can be had at present.
+/// Why no worker is available at present, in the order of precedence.
 enum class NoWorkerReason : std::uint8_t {
-  noWorkers,  ///< The service has none.
-  notHeld,    ///< None holds the model or the adapter.
-  excluded,   ///< All that could have refused this request already.
-  broken,     ///< All that could have an open circuit breaker.
-  failing,    ///< All that could fail what they are sent.
-  limited,    ///< The limits of those that could leave no room.
+  noWorkers,  ///< The service has no worker.
+  notHeld,    ///< No worker holds the model or the adapter.
+  excluded,   ///< All that hold it have already failed or refused this request.
+  broken,     ///< All remaining ones have an open circuit breaker.
+  failing,    ///< All remaining ones fail the requests that they get.
+  limited,    ///< The rate limits of the remaining ones are used up.
 };
 
-/// Whether a worker's limit leaves room for a request of this gateway.
+/// Whether a worker's rate limit permits a request of this gateway.
 enum class ShareStanding : std::uint8_t {
-  open,     ///< It has no limit, or there is a share for one more.
-  askable,  ///< The leader may grant one.
-  spent,    ///< There is none to be had now.
+  open,     ///< It has no limit, or the granted share covers a request.
+  askable,  ///< The leader may grant a share on request.
+  spent,    ///< No share is available now.
 };
 
-/// What the selector asks about workers with limits. Implemented by the gateway.
+/// Query interface of the selector for the rate limits of workers. Implemented by the gateway.
 class ShareView {
  public:
   virtual ~ShareView() = default;
   virtual ShareStanding standing(const registry::WorkerId& worker) = 0;
   virtual bool limited(const registry::WorkerId& worker) const = 0;
-  /// @return until there is a share, of a worker whose share is spent.
+  /// @return the time until a share is available, for a worker whose share is spent.
   virtual base::Duration shareRetryAfter(const registry::WorkerId& worker) = 0;
 };
 
+/// The result of selecting a worker for a request.
 struct Selection {
-  WorkerDirectory::WorkerPtr worker;  ///< Null: see `reason`.
-  /// The best of the failing workers if `worker` is null: better than none.
+  WorkerDirectory::WorkerPtr worker;  ///< Null if none is available: see `reason`.
+  /// The best of the failing workers, if `worker` is null: used where waiting does not help.
   WorkerDirectory::WorkerPtr lastResort;
-  /// The best worker for which a share may be asked, if `worker` is null.
+  /// The best worker for which a share may be requested, if `worker` is null.
   WorkerDirectory::WorkerPtr askable;
   NoWorkerReason reason = NoWorkerReason::noWorkers;
-  /// Until some limited worker has room; zero unless the reason is `limited`.
+  /// Time until the limit of some worker permits a request; zero unless the reason is `limited`.
   base::Duration shareIn{0};
-  /// The reason is `limited`, and other workers of the service have no limit: what the request
-  /// needs may be brought up there.
+  /// True if the reason is `limited` and other workers of the service have no limit: the model may
+  /// be loaded there.
   bool othersUnlimited = false;
-  /// Until a slot of the worker is expected to be free; zero if one is, or if that is not known.
+  /// Expected time until a slot of the worker is free; zero if one is free now, or if the time is
+  /// not known.
   base::Duration expectedWait{0};
 };
 
-/// Remembers which worker read a prompt last, as its cache holds the prompt's shared parts. A
-/// guess: being wrong costs time only. Bounded; forgets what was used least recently.
+/// Prompt cache affinity: remembers the worker that last processed a prompt, since its cache holds
+/// the prompt's shared parts. An estimate: a wrong one costs time only. Bounded, with eviction of
+/// the least recently used entry.
 class PromptAffinity {
  public:
   void sent(const RequestFacts& facts, const registry::WorkerId& worker);
-  /// @return the worker that last read a prompt beginning alike, or nullptr.
+  /// @return the worker that last processed a prompt with the same beginning, or nullptr.
   const registry::WorkerId* find(const RequestFacts& facts) const;
 
  private:
@@ -81,18 +84,19 @@
 
 struct WorkerSelectorOptions {
   base::ZoneId zone;
-  /// Expected times that differ by up to this share count as equal. All gateways have the same
-  /// loads of some hundred ms ago: without it each of them would choose the same worker meanwhile.
+  /// Relative difference up to which expected times count as equal. All gateways know the same
+  /// loads, some hundred ms old: without this randomization all of them would select the same
+  /// worker until the next update.
   double spread = 0.3;
   std::uint64_t seed = 0;
 };
 
-/// Picks the worker with the least expected time: its observed latency, grown by the requests that
-/// run there and by its failures; workers of the own zone and those that know the prompt are
-/// preferred when that makes no great difference. One that fails what it is sent is a last resort.
+/// Selects the worker with the lowest expected time: its observed latency, increased by the
+/// requests that run there and by its failures. Workers in the gateway's zone and workers that know
+/// the prompt are preferred where the difference is small. A failing worker is a last resort.
 class WorkerSelector {
  public:
-  /// Whether a request to a worker would need no new connection.
+  /// Returns true if a request to the worker would need no new connection.
   using ConnectedTo = std::function<bool(const registry::WorkerId&)>;
 
   /// @param shares null: no worker has a limit.
@@ -107,13 +111,13 @@
   Selection select(const std::string& service, const RequestFacts& facts,
                    const std::set<registry::WorkerId>& excluded, base::TimePoint now);
   PromptAffinity& affinity() { return affinity_; }
-  /// A stream of that service has ended, and held a slot of its worker for so long.
+  /// Records for how long a stream of the service, now complete, occupied a slot of its worker.
   void slotHeld(const std::string& service, base::Duration held) {
     slotTimes_[service].observe(held);
   }
 
  private:
-  /// Workers that could take a request, by what speaks against it.
+  /// Workers that hold what a request needs, by their availability.
   struct Candidates {
     std::vector<WorkerDirectory::WorkerPtr> usable;
     std::vector<WorkerDirectory::WorkerPtr> failing;
@@ -137,7 +141,7 @@
   const ConnectedTo connectedTo_;
   ShareView* const shares_;
   PromptAffinity affinity_;
-  std::map<std::string, routing::MovingAverage> slotTimes_;  ///< Of streams, by service.
+  std::map<std::string, routing::MovingAverage> slotTimes_;  ///< Slot times of streams, by service.
 };
 
 }  // namespace walnut::gateway
