--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -138,52 +138,54 @@
 /// beside such a request are cleared within 2 s.
 /// @return false if the request may be sent.
 bool Exchange::stopIfSuspect() {
-  const auto verdict = verdictOnThis();
-  if (!verdict || verdict->standing == registry::RequestStanding::suspected) {
+  const auto classification = ownClassification();
+  if (!classification || classification->standing == registry::RequestStanding::suspected) {
     return false;
   }
-  if (verdict->standing == registry::RequestStanding::held && verdict->until < deadline_) {
-    if (!std::exchange(held_, true)) {
-      noteStopped(*verdict, "held");
+  if (classification->standing == registry::RequestStanding::held &&
+      classification->until < deadline_) {
+    if (!std::exchange(wasHeld_, true)) {
+      logQuarantined(*classification, "held");
     }
-    retryTimer_->enableAt(verdict->until);
+    retryTimer_->enableAt(classification->until);
     return true;
   }
-  noteStopped(*verdict, "refused");
+  logQuarantined(*classification, "refused");
   if (headSent_) {
     failFinally(kQuarantined);
   } else {
-    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, kQuarantined, verdict->until - now());
+    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, kQuarantined, classification->until - now());
   }
   return true;
 }
 
-std::optional<RequestQuarantine::Verdict> Exchange::verdictOnThis() {
-  return context_.watchesRequests() ? context_.verdictOn(digest()) : std::nullopt;
+std::optional<RequestQuarantine::Classification> Exchange::ownClassification() {
+  return context_.hasSuspects() ? context_.classificationOf(digest()) : std::nullopt;
 }
 
-void Exchange::noteStopped(const RequestQuarantine::Verdict& verdict, std::string_view outcome) {
+void Exchange::logQuarantined(const RequestQuarantine::Classification& classification,
+                              std::string_view outcome) {
   context_.metrics().count("walnut_gateway_quarantined_total", std::string(outcome));
   context_.log().write(LogEvent::requestQuarantined,
                        {{"request", facts_.requestId},
                         {"digest", digest().text()},
                         {"outcome", outcome},
-                        {"crashes", std::uint64_t{verdict.crashes}},
-                        {"until-millis", millisOf(verdict.until - now())}});
+                        {"crashes", std::uint64_t{classification.crashes}},
+                        {"until-millis", millisOf(classification.until - now())}});
 }
 
 /// A request that is still queued at a worker has not crashed it yet, and is cancelled there if it
 /// is now quarantined.
 void Exchange::suspectsChanged() {
   if (state_ == State::choosing) {
-    held_ ? choose() : static_cast<void>(stopIfSuspect());
+    wasHeld_ ? choose() : static_cast<void>(stopIfSuspect());
     return;
   }
   if (state_ != State::attempting || answerNoted_) {
     return;
   }
-  const auto verdict = verdictOnThis();
-  if (!verdict || verdict->standing != registry::RequestStanding::quarantined) {
+  const auto classification = ownClassification();
+  if (!classification || classification->standing != registry::RequestStanding::quarantined) {
     return;
   }
   worker_->breaker.undecided(now());
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -80,8 +80,8 @@
   /// @name Requests that crash their workers
   /// @{
   /// @return true if any request is classified as suspect: otherwise no digest has to be computed.
-  virtual bool watchesRequests() const = 0;
-  virtual std::optional<RequestQuarantine::Verdict> verdictOn(
+  virtual bool hasSuspects() const = 0;
+  virtual std::optional<RequestQuarantine::Classification> classificationOf(
       const registry::RequestDigest& request) const = 0;
   /// Records that the connection ended while the worker had the request and before any part of the
   /// response body had come.
@@ -172,10 +172,11 @@
   void choose();
   const registry::RequestDigest& digest();
   bool stopIfSuspect();
-  std::optional<RequestQuarantine::Verdict> verdictOnThis();
-  void noteStopped(const RequestQuarantine::Verdict& verdict, std::string_view outcome);
-  void noteCut();
-  void noteSuspectAnswered();
+  std::optional<RequestQuarantine::Classification> ownClassification();
+  void logQuarantined(const RequestQuarantine::Classification& classification,
+                      std::string_view outcome);
+  void reportCut();
+  void reportSuspectAnswered();
   bool wouldBeginLate(const Selection& selection) const;
   bool takesLastResort() const;
   void wait(NoWorkerReason reason);
@@ -246,7 +247,7 @@
   std::uint32_t backoffs_ = 0;
   bool retryTaken_ = false;                        ///< A retry was taken for the next attempt.
   std::optional<registry::RequestDigest> digest_;  ///< Computed on first use.
-  bool held_ = false;                              ///< Was delayed at least once, being suspect.
+  bool wasHeld_ = false;                           ///< Was delayed at least once, being suspect.
 
   // State of the current attempt.
   std::unique_ptr<Attempt> attempt_;
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -137,7 +137,7 @@
     return;
   }
   if (answer_.sealed) {
-    noteSuspectAnswered();
+    reportSuspectAnswered();
   }
   const bool failed = !accepted_ && (head_.status >= kInternalError || !answer_.sealed);
   worker_->failures.observe(!accepted_ && head_.status >= kInternalError, now());
@@ -168,14 +168,14 @@
 
 void Exchange::completeStream() {
   if (events_.midEvent()) {
-    noteCut();
+    reportCut();
     noteFailed();
     dropAttempt();
     attemptEnded(Executed::yes, "the stream ended within an event");
     return;
   }
   noteAnswered();
-  noteSuspectAnswered();
+  reportSuspectAnswered();
   if (longestGap_ <= pauseLimit()) {
     worker_->failures.observe(false, now());
   }
@@ -193,7 +193,7 @@
 /// Reports a request whose connection was cut: its worker may have crashed because of it. A request
 /// that had received part of its response is not reported, as a request that crashes a worker does
 /// so before it is answered.
-void Exchange::noteCut() {
+void Exchange::reportCut() {
   if (answerNoted_ || worker_->view.record.leaving) {
     return;
   }
@@ -212,8 +212,8 @@
 
 /// Reports that a suspect request was answered, also with an error of the worker's own: the worker
 /// survived the request.
-void Exchange::noteSuspectAnswered() {
-  if (verdictOnThis()) {
+void Exchange::reportSuspectAnswered() {
+  if (ownClassification()) {
     context_.suspectAnswered(digest());
   }
 }
@@ -226,7 +226,7 @@
     noteFailed();
   }
   if (!notRun) {
-    noteCut();
+    reportCut();
   }
   dropAttempt();
   attemptEnded(notRun ? Executed::no : Executed::unknown, base::errorCodeName(error.code));
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -122,8 +122,8 @@
   return found == lateModels_.end() ? std::nullopt : std::optional(found->second);
 }
 
-void Gateway::leaderFollowed(bool told) {
-  quarantine_.leaderFollowed(told);
+void Gateway::leaderFollowed(bool gotSuspects) {
+  quarantine_.leaderFollowed(gotSuspects);
   reportCutsSoon();
   quietUntil_ = {};
   quota_.leaderLost();
@@ -132,18 +132,18 @@
   askForQuota(true);
 }
 
-std::optional<RequestQuarantine::Verdict> Gateway::verdictOn(
+std::optional<RequestQuarantine::Classification> Gateway::classificationOf(
     const registry::RequestDigest& request) const {
   return quarantine_.find(request, scheduler_.now());
 }
 
 void Gateway::requestCut(const Worker& worker, const registry::RequestDigest& request, bool begun) {
-  quarantine_.cut(request, worker.view.record.id, begun, scheduler_.now());
+  quarantine_.addCut(request, worker.view.record.id, begun, scheduler_.now());
   reportCutsSoon();
 }
 
 void Gateway::suspectAnswered(const registry::RequestDigest& request) {
-  quarantine_.answered(request);
+  quarantine_.addAnswered(request);
   reportCutsSoon();
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -56,7 +56,7 @@
   /// Called when the first view of a newly followed leader has come.
   /// @param told true if the leader has sent a list of suspect requests before the view: otherwise
   /// there are none.
-  void leaderFollowed(bool told);
+  void leaderFollowed(bool gotSuspects);
   /// Puts a document in force if it is newer than the present one.
   /// @return true if it was put in force.
   bool documentReceived(std::shared_ptr<const catalog::Document> document);
@@ -104,8 +104,8 @@
   void attemptFailed(Worker& worker) override;
   void attemptSettled(const Worker& worker, const RequestFacts& facts,
                       AttemptOutcome outcome) override;
-  bool watchesRequests() const override { return quarantine_.watching(); }
-  std::optional<RequestQuarantine::Verdict> verdictOn(
+  bool hasSuspects() const override { return quarantine_.isActive(); }
+  std::optional<RequestQuarantine::Classification> classificationOf(
       const registry::RequestDigest& request) const override;
   void requestCut(const Worker& worker, const registry::RequestDigest& request,
                   bool begun) override;
--- a/src/gateway/request_quarantine.cpp
+++ b/src/gateway/request_quarantine.cpp
@@ -6,39 +6,40 @@
 namespace walnut::gateway {
 
 void RequestQuarantine::take(const registry::SuspectList& list, base::TimePoint now) {
-  verdicts_.clear();
+  classifications_.clear();
   for (const registry::SuspectRequest& suspect : list.requests) {
-    verdicts_[suspect.request] = {suspect.standing, suspect.crashes, now + suspect.remaining};
+    classifications_[suspect.request] = {suspect.standing, suspect.crashes,
+                                         now + suspect.remaining};
   }
 }
 
-void RequestQuarantine::leaderFollowed(bool told) {
-  if (!told) {
-    verdicts_.clear();
+void RequestQuarantine::leaderFollowed(bool gotSuspects) {
+  if (!gotSuspects) {
+    classifications_.clear();
   }
   for (Cut& cut : cuts_) {
-    cut.told = false;
+    cut.isReported = false;
   }
 }
 
-std::optional<RequestQuarantine::Verdict> RequestQuarantine::find(
+std::optional<RequestQuarantine::Classification> RequestQuarantine::find(
     const registry::RequestDigest& request, base::TimePoint now) const {
-  const auto found = verdicts_.find(request);
-  if (found == verdicts_.end() || now >= found->second.until) {
+  const auto found = classifications_.find(request);
+  if (found == classifications_.end() || now >= found->second.until) {
     return std::nullopt;
   }
   return found->second;
 }
 
-void RequestQuarantine::cut(const registry::RequestDigest& request,
-                            const registry::WorkerId& worker, bool begun, base::TimePoint now) {
-  while (!cuts_.empty() && (cuts_.size() >= kMostCuts || now >= cuts_.front().at + kCutsLast)) {
+void RequestQuarantine::addCut(const registry::RequestDigest& request,
+                               const registry::WorkerId& worker, bool begun, base::TimePoint now) {
+  while (!cuts_.empty() && (cuts_.size() >= kMaxCuts || now >= cuts_.front().at + kCutRetention)) {
     cuts_.pop_front();
   }
   cuts_.push_back({request, worker, begun, now, false});
 }
 
-void RequestQuarantine::answered(const registry::RequestDigest& request) {
+void RequestQuarantine::addAnswered(const registry::RequestDigest& request) {
   std::erase_if(cuts_, [&request](const Cut& cut) { return cut.request == request; });
   answered_.push_back(request);
 }
@@ -46,7 +47,7 @@
 std::optional<registry::CutReport> RequestQuarantine::takeReport(base::TimePoint now) {
   registry::CutReport report;
   for (Cut& cut : cuts_) {
-    if (!std::exchange(cut.told, true) && now < cut.at + kCutsLast) {
+    if (!std::exchange(cut.isReported, true) && now < cut.at + kCutRetention) {
       report.cuts.push_back({cut.request, cut.worker, cut.begun, now - cut.at});
     }
   }
--- a/src/gateway/request_quarantine.h
+++ b/src/gateway/request_quarantine.h
@@ -18,7 +18,7 @@
 /// too: a newly followed leader may not have the earlier ones, and gets them again.
 class RequestQuarantine {
  public:
-  struct Verdict {
+  struct Classification {
     registry::RequestStanding standing = registry::RequestStanding::suspected;
     std::uint32_t crashes = 0;
     base::TimePoint until;
@@ -29,21 +29,22 @@
   /// Called when the first view of a newly followed leader has come.
   /// @param told true if the leader has sent a list of suspect requests before the view: otherwise
   /// there are none.
-  void leaderFollowed(bool told);
+  void leaderFollowed(bool gotSuspects);
 
   /// @return true if requests have to be looked up. Usually there are no suspects, and no digest
   /// has to be computed.
-  bool watching() const { return !verdicts_.empty(); }
+  bool isActive() const { return !classifications_.empty(); }
   /// @return the classification of a request; nothing if it is not suspect.
-  std::optional<Verdict> find(const registry::RequestDigest& request, base::TimePoint now) const;
+  std::optional<Classification> find(const registry::RequestDigest& request,
+                                     base::TimePoint now) const;
 
   /// @name Reports to the leader
   /// @{
   /// Records a request whose connection was cut.
   /// @param begun true if the head of the response had come.
-  void cut(const registry::RequestDigest& request, const registry::WorkerId& worker, bool begun,
-           base::TimePoint now);
-  void answered(const registry::RequestDigest& request);
+  void addCut(const registry::RequestDigest& request, const registry::WorkerId& worker, bool begun,
+              base::TimePoint now);
+  void addAnswered(const registry::RequestDigest& request);
   /// @return what has not been reported to this leader yet; nothing if there is none.
   std::optional<registry::CutReport> takeReport(base::TimePoint now);
   /// @}
@@ -54,15 +55,15 @@
     registry::WorkerId worker;
     bool begun = false;
     base::TimePoint at;
-    bool told = false;
+    bool isReported = false;
   };
 
   /// Time for which cut requests are kept: callers send a request again within seconds, and a
   /// leader is found within a few more.
-  static constexpr base::Duration kCutsLast = std::chrono::seconds(60);
-  static constexpr std::size_t kMostCuts = 512;
+  static constexpr base::Duration kCutRetention = std::chrono::seconds(60);
+  static constexpr std::size_t kMaxCuts = 512;
 
-  std::map<registry::RequestDigest, Verdict> verdicts_;
+  std::map<registry::RequestDigest, Classification> classifications_;
   std::deque<Cut> cuts_;  ///< Oldest first.
   std::vector<registry::RequestDigest> answered_;
 };
