--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -19,7 +19,7 @@
 constexpr int kNoAnswer = 0;  ///< The caller had disconnected, or the response was aborted.
 
 constexpr base::Duration kDefaultDeadline = std::chrono::seconds(60);
-constexpr std::uint32_t kMaxArrivals = 8;
+constexpr std::uint32_t kMaxDeliveredAttempts = 8;
 /// Retry-After values of refusals.
 constexpr base::Duration kRetryAfterFull = std::chrono::milliseconds(300);
 constexpr base::Duration kRetryAfterTimeout = std::chrono::milliseconds(500);
@@ -64,7 +64,7 @@
 }
 
 void Exchange::viewChanged() {
-  if (state_ == State::choosing && waiting_) {
+  if (state_ == State::choosing && isWaiting_) {
     choose();
   }
 }
@@ -75,7 +75,7 @@
   }
 }
 
-void Exchange::giveUp() {
+void Exchange::cancel() {
   if (state_ == State::attempting) {
     worker_->breaker.undecided(now());
     dropAttempt();
@@ -101,7 +101,7 @@
     askForShare(*selection.askable);
     return;
   }
-  if (selection.lastResort != nullptr && takesLastResort()) {
+  if (selection.lastResort != nullptr && acceptsLastResort()) {
     endWait();
     launch(selection.lastResort);
     return;
@@ -181,7 +181,7 @@
     wasHeld_ ? choose() : static_cast<void>(stopIfSuspect());
     return;
   }
-  if (state_ != State::attempting || answerNoted_) {
+  if (state_ != State::attempting || isAnswerRecorded_) {
     return;
   }
   const auto classification = ownClassification();
@@ -206,11 +206,11 @@
 void Exchange::launch(const WorkerDirectory::WorkerPtr& worker) {
   state_ = State::attempting;
   worker_ = worker;
-  ++launches_;
+  ++startedAttempts_;
   attemptAt_ = now();
-  headSeen_ = false;
+  isHeadReceived_ = false;
   accepted_ = false;
-  answerNoted_ = false;
+  isAnswerRecorded_ = false;
   bodyUse_ = BodyUse::discard;
   body_.clear();
   context_.takeShare(worker->view.record.id);
@@ -229,9 +229,9 @@
                                                   {"document", document_->version},
                                                   {"worker", worker->view.record.id.value},
                                                   {"running", worker->runningTogether()},
-                                                  {"earlier", arrivals_}});
+                                                  {"earlier", deliveredAttempts_}});
   if (isStreaming()) {
-    armStall(std::max(kStallFloor, route_.targetLatency));
+    armStallTimer(std::max(kStallFloor, route_.targetLatency));
   }
   attempt_ = context_.launcher().start(worker->view.record, request_, *this);
 }
@@ -251,13 +251,13 @@
 }
 
 bool Exchange::mayRunAgain(Executed executed) const {
-  const std::uint32_t runs = runs_ + (executed == Executed::no ? 0 : 1);
+  const std::uint32_t runs = executedAttempts_ + (executed == Executed::no ? 0 : 1);
   return (executed == Executed::no || route_.repeatable()) && runs < route_.maxAttempts;
 }
 
 /// Reports the attempt as answered, once for each attempt.
-void Exchange::noteAnswered() {
-  if (!std::exchange(answerNoted_, true)) {
+void Exchange::recordAnswered() {
+  if (!std::exchange(isAnswerRecorded_, true)) {
     context_.attemptSettled(*worker_, facts_, AttemptOutcome::answered);
   }
 }
@@ -265,7 +265,7 @@
 /// A healthy worker whose slots are all taken is slow to answer and resets connections, just as a
 /// hanging one is. The registry tells the two apart, since it knows whether the worker answers
 /// other gateways; such a failure is reported as stalled.
-void Exchange::noteFailed() {
+void Exchange::recordFailure() {
   context_.attemptSettled(*worker_, facts_,
                           worker_->full() ? AttemptOutcome::stalled : AttemptOutcome::failed);
 }
@@ -275,7 +275,7 @@
       LogEvent::attemptFailed,
       {{"request", facts_.requestId},
        {"worker", worker_->view.record.id.value},
-       {"status", static_cast<std::uint64_t>(headSeen_ ? head_.status : kNoAnswer)},
+       {"status", static_cast<std::uint64_t>(isHeadReceived_ ? head_.status : kNoAnswer)},
        {"executed", executed == Executed::no    ? "no"
                     : executed == Executed::yes ? "yes"
                                                 : "unknown"},
@@ -287,14 +287,14 @@
   logAttemptFailed(executed, reason);
   events_.restart();
   excluded_.insert(worker_->view.record.id);
-  if (executed != Executed::no || headSeen_) {
-    ++arrivals_;
+  if (executed != Executed::no || isHeadReceived_) {
+    ++deliveredAttempts_;
   }
   if (executed != Executed::no) {
-    ++runs_;
+    ++executedAttempts_;
     mayHaveRun_ = true;
   } else {
-    ++launchesNotRun_;
+    ++attemptsNotRun_;
   }
   state_ = State::choosing;
   retryOrFail(executed, reason);
@@ -302,13 +302,14 @@
 
 void Exchange::retryOrFail(Executed executed, std::string_view reason) {
   const bool repeatable = executed == Executed::no || route_.repeatable();
-  const bool runsLeft = runs_ < route_.maxAttempts;
-  if (!repeatable || !runsLeft || arrivals_ >= kMaxArrivals || now() >= deadline_) {
+  const bool runsLeft = executedAttempts_ < route_.maxAttempts;
+  if (!repeatable || !runsLeft || deliveredAttempts_ >= kMaxDeliveredAttempts ||
+      now() >= deadline_) {
     failFinally(reason);
     return;
   }
   const bool taken = std::exchange(retryTaken_, false);
-  if (arrivals_ > 0 && !taken && !context_.takeRetry(service_)) {
+  if (deliveredAttempts_ > 0 && !taken && !context_.takeRetry(service_)) {
     failFinally("retry budget used up");
     return;
   }
@@ -338,11 +339,11 @@
   }
   const bool running = state_ == State::attempting;
   if (running) {
-    if (headSeen_) {
+    if (isHeadReceived_) {
       worker_->breaker.undecided(now());
     } else {
       context_.attemptFailed(*worker_);
-      noteFailed();
+      recordFailure();
       context_.launcher().forget(worker_->view.record.id);
     }
     dropAttempt();
@@ -357,10 +358,10 @@
   }
 }
 
-void Exchange::armStall(base::Duration patience) {
-  if (route_.repeatable() && runs_ + 1 < route_.maxAttempts) {
-    stallPatience_ = patience;
-    stallTimer_->enableAt(now() + patience);
+void Exchange::armStallTimer(base::Duration timeout) {
+  if (route_.repeatable() && executedAttempts_ + 1 < route_.maxAttempts) {
+    stallTimeout_ = timeout;
+    stallTimer_->enableAt(now() + timeout);
   }
 }
 
@@ -379,12 +380,12 @@
     return;
   }
   if (!beginsSoonerElsewhere() || !context_.takeRetry(service_)) {
-    armStall(stallPatience_);
+    armStallTimer(stallTimeout_);
     return;
   }
   retryTaken_ = true;
   context_.attemptFailed(*worker_);
-  noteFailed();
+  recordFailure();
   context_.launcher().forget(worker_->view.record.id);
   dropAttempt();
   attemptEnded(Executed::unknown, "the worker is silent");
@@ -396,9 +397,9 @@
   }
   if (state_ == State::attempting) {
     worker_->breaker.undecided(now());
-    const base::Duration patience = std::max(kStallFloor, route_.targetLatency);
-    if (!answerNoted_ && now() - attemptAt_ >= patience) {
-      noteFailed();
+    const base::Duration timeout = std::max(kStallFloor, route_.targetLatency);
+    if (!isAnswerRecorded_ && now() - attemptAt_ >= timeout) {
+      recordFailure();
     }
     dropAttempt();
   }
@@ -443,7 +444,7 @@
        {"model", facts_.model},
        {"adapter", facts_.adapter},
        {"worker", worker_ == nullptr ? "" : worker_->view.record.id.value},
-       {"attempts", runs_ + std::uint64_t{accepted_}},
+       {"attempts", executedAttempts_ + std::uint64_t{accepted_}},
        {"first", millisOf(headSent_ ? firstEventAt_ - arrivedAt_ : base::Duration::zero())},
        {"gap", millisOf(longestGap_)},
        {"limit", registry::limitText(answer_.limit)},
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -93,8 +93,8 @@
   /// @name Workers that announce rate limits
   /// @{
   /// Processes the head of the worker's response to a request that was sent at `sentAt`.
-  virtual void answerRead(const Worker& worker, const AnswerFacts& answer,
-                          base::TimePoint sentAt) = 0;
+  virtual void responseHeadReceived(const Worker& worker, const AnswerFacts& answer,
+                                    base::TimePoint sentAt) = 0;
   /// Counts the requests that wait for a granted share of the worker's limit.
   virtual void shareWaitBegan(const registry::WorkerId& worker) = 0;
   virtual void shareWaitEnded(const registry::WorkerId& worker) = 0;
@@ -107,7 +107,7 @@
                                                     const std::string& model) const = 0;
   virtual std::uint64_t documentVersion() const = 0;
   /// @return true if the registry's leader receives this gateway's demand reports.
-  virtual bool leaderKnown() const = 0;
+  virtual bool hasLeader() const = 0;
   /// Called at the end of an exchange, which is destroyed in the next event loop iteration.
   virtual void ended(Exchange& exchange, int status) = 0;
 };
@@ -146,12 +146,12 @@
   /// Refuses the request if it waits for a worker, because the process is about to shut down.
   void stopWaiting();
   /// Cancels the request, also one that runs, because the process shuts down.
-  void giveUp();
+  void cancel();
 
   std::uint64_t number() const { return number_; }
   const RequestFacts& facts() const { return facts_; }
   /// @return true if a worker may have executed the request.
-  bool mayHaveRun() const { return launches_ > launchesNotRun_; }
+  bool mayHaveRun() const { return startedAttempts_ > attemptsNotRun_; }
 
  private:
   /// Lower bound of the time without an event after which a stream is sent to another worker.
@@ -178,7 +178,7 @@
   void reportCut();
   void reportSuspectAnswered();
   bool wouldBeginLate(const Selection& selection) const;
-  bool takesLastResort() const;
+  bool acceptsLastResort() const;
   void wait(NoWorkerReason reason);
   void beginWait(NoWorkerReason reason);
   void askForShare(const Worker& worker);
@@ -186,19 +186,19 @@
   bool waitsForLimit(const Selection& selection) const;
   void waitForLimit(const Selection& selection);
   bool refuseIfTooLate(NoWorkerReason reason);
-  base::TimePoint callerLeavesAt() const;
-  base::TimePoint shortPatienceEnds() const;
+  base::TimePoint callerDisconnectsAt() const;
+  base::TimePoint shortWaitDeadline() const;
   void endWait();
   void launch(const WorkerDirectory::WorkerPtr& worker);
-  void takeSuccessHead();
-  void streamEvents(std::string_view bytes);
-  void notePause(base::Duration pause);
+  void processSuccessHead();
+  void forwardEvents(std::string_view bytes);
+  void recordGap(base::Duration pause);
   base::Duration pauseLimit() const {
     return route_.targetGap > base::Duration::zero() ? route_.targetGap : base::Duration::max();
   }
   void completeStream();
-  void noteAnswered();
-  void noteFailed();
+  void recordAnswered();
+  void recordFailure();
   void attemptEnded(Executed executed, std::string_view reason);
   void logAttemptFailed(Executed executed, std::string_view reason);
   void retryOrFail(Executed executed, std::string_view reason);
@@ -212,7 +212,7 @@
   void onDeadline();
   void onStall();
   bool beginsSoonerElsewhere() const;
-  void armStall(base::Duration patience);
+  void armStallTimer(base::Duration timeout);
   void onCallerGone();
   void onCallerDrained();
   void finish(int status, std::string_view outcome);
@@ -235,15 +235,15 @@
   event::TimerPtr stallTimer_;
 
   std::set<registry::WorkerId> excluded_;  ///< Workers that are not selected again for now.
-  bool waiting_ = false;
+  bool isWaiting_ = false;
   std::optional<registry::WorkerId> shareOf_;  ///< Worker of the requested share.
   base::TimePoint waitBeganAt_;
-  base::Duration waited_{0};    ///< Total time waited for an available worker.
-  bool mayHaveRun_ = false;     ///< Some earlier attempt was executed, or may have been.
-  std::uint32_t arrivals_ = 0;  ///< Attempts that reached a worker.
-  std::uint32_t launches_ = 0;
-  std::uint32_t launchesNotRun_ = 0;
-  std::uint32_t runs_ = 0;  ///< Attempts that were executed, or may have been.
+  base::Duration waited_{0};             ///< Total time waited for an available worker.
+  bool mayHaveRun_ = false;              ///< Some earlier attempt was executed, or may have been.
+  std::uint32_t deliveredAttempts_ = 0;  ///< Attempts that reached a worker.
+  std::uint32_t startedAttempts_ = 0;
+  std::uint32_t attemptsNotRun_ = 0;
+  std::uint32_t executedAttempts_ = 0;  ///< Attempts that were executed, or may have been.
   std::uint32_t backoffs_ = 0;
   bool retryTaken_ = false;                        ///< A retry was taken for the next attempt.
   std::optional<registry::RequestDigest> digest_;  ///< Computed on first use.
@@ -253,12 +253,12 @@
   std::unique_ptr<Attempt> attempt_;
   WorkerDirectory::WorkerPtr worker_;
   base::TimePoint attemptAt_;
-  base::Duration stallPatience_{0};  ///< Stall timeout as last armed.
+  base::Duration stallTimeout_{0};  ///< Stall timeout as last armed.
   net::HttpResponseHead head_;
   AnswerFacts answer_;
-  bool headSeen_ = false;
+  bool isHeadReceived_ = false;
   bool accepted_ = false;  ///< The response is a success that the worker itself sealed.
-  bool answerNoted_ = false;
+  bool isAnswerRecorded_ = false;
   BodyUse bodyUse_ = BodyUse::discard;
   std::string body_;
 
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -18,12 +18,12 @@
 constexpr int kInternalError = 500;
 
 /// Maximum size of a non-streaming response, which is buffered whole before it is passed on.
-constexpr std::size_t kMaxCollected = 8U << 20U;
+constexpr std::size_t kMaxBufferedBody = 8U << 20U;
 /// Bytes buffered for a slow caller above which reading from its worker is paused.
 constexpr std::size_t kHighWatermark = 256U << 10U;
 /// Time for which no further request is sent to a worker that denied holding a model.
-constexpr base::Duration kMissedFor = std::chrono::milliseconds(500);
-constexpr base::Duration kMissedAdapterFor = std::chrono::milliseconds(25);
+constexpr base::Duration kMissingModelPeriod = std::chrono::milliseconds(500);
+constexpr base::Duration kMissingAdapterPeriod = std::chrono::milliseconds(25);
 constexpr int kStallFactor = 4;
 
 }  // namespace
@@ -34,8 +34,8 @@
     return false;
   }
   answer_ = std::move(facts);
-  context_.answerRead(*worker_, answer_, attemptAt_);
-  headSeen_ = true;
+  context_.responseHeadReceived(*worker_, answer_, attemptAt_);
+  isHeadReceived_ = true;
   head_.status = head.status;
   head_.reason = std::move(head.reason);
   head_.headers = std::move(head.headers);
@@ -44,14 +44,14 @@
   const bool success = head_.status >= kOk && head_.status < kMultipleChoices;
   accepted_ = success && answer_.sealed && !answer_.encoded && !answer_.requestId.empty();
   if (accepted_) {
-    takeSuccessHead();
+    processSuccessHead();
   } else {
     bodyUse_ = answer_.sealed ? BodyUse::collect : BodyUse::discard;
   }
   return true;
 }
 
-void Exchange::takeSuccessHead() {
+void Exchange::processSuccessHead() {
   bodyUse_ = isStreaming() ? BodyUse::stream : BodyUse::collect;
   if (!isStreaming()) {
     worker_->latency.observe(now() - attemptAt_);
@@ -69,22 +69,22 @@
     case BodyUse::discard:
       return;
     case BodyUse::collect:
-      if (body_.size() + bytes.size() <= kMaxCollected) {
+      if (body_.size() + bytes.size() <= kMaxBufferedBody) {
         body_.append(bytes);
       }
       return;
     case BodyUse::stream:
-      streamEvents(bytes);
+      forwardEvents(bytes);
       return;
   }
 }
 
-void Exchange::streamEvents(std::string_view bytes) {
+void Exchange::forwardEvents(std::string_view bytes) {
   const std::string whole = events_.feed(bytes);
   if (whole.empty()) {
     return;
   }
-  noteAnswered();
+  recordAnswered();
   if (!headSent_) {
     headSent_ = true;
     firstEventAt_ = now();
@@ -93,10 +93,10 @@
     worker_->latency.observe(now() - attemptAt_);
     sink_.beginChunked(head_);
   }
-  notePause(now() - lastEventAt_);
+  recordGap(now() - lastEventAt_);
   lastEventAt_ = now();
   sink_.writeChunk(whole);
-  armStall(std::max(kStallFloor, kStallFactor * route_.targetGap));
+  armStallTimer(std::max(kStallFloor, kStallFactor * route_.targetGap));
   if (sink_.bufferedBytes() > kHighWatermark) {
     attempt_->setReading(false);
     stallTimer_->disable();
@@ -104,7 +104,7 @@
 }
 
 /// Counts a pause beyond the target gap as a failure of the worker, once per stream.
-void Exchange::notePause(base::Duration pause) {
+void Exchange::recordGap(base::Duration pause) {
   const bool first = longestGap_ <= pauseLimit();
   longestGap_ = std::max(longestGap_, pause);
   if (first && longestGap_ > pauseLimit()) {
@@ -125,8 +125,9 @@
       worker_->saidFull();
     } else if (!facts_.model.empty()) {
       // The worker does not hold the model, or is about to unload it.
-      worker_->missed(facts_.model, facts_.adapter,
-                      now() + (facts_.adapter.empty() ? kMissedFor : kMissedAdapterFor));
+      worker_->missed(
+          facts_.model, facts_.adapter,
+          now() + (facts_.adapter.empty() ? kMissingModelPeriod : kMissingAdapterPeriod));
     }
     releaseAttempt();
     attemptEnded(Executed::no, "not run by the worker");
@@ -142,9 +143,9 @@
   const bool failed = !accepted_ && (head_.status >= kInternalError || !answer_.sealed);
   worker_->failures.observe(!accepted_ && head_.status >= kInternalError, now());
   if (failed) {
-    noteFailed();
+    recordFailure();
   } else {
-    noteAnswered();
+    recordAnswered();
   }
   if (accepted_) {
     releaseAttempt();
@@ -169,18 +170,18 @@
 void Exchange::completeStream() {
   if (events_.midEvent()) {
     reportCut();
-    noteFailed();
+    recordFailure();
     dropAttempt();
     attemptEnded(Executed::yes, "the stream ended within an event");
     return;
   }
-  noteAnswered();
+  recordAnswered();
   reportSuspectAnswered();
   if (longestGap_ <= pauseLimit()) {
     worker_->failures.observe(false, now());
   }
   releaseAttempt();
-  if (headSent_ && runs_ == 0) {
+  if (headSent_ && executedAttempts_ == 0) {
     context_.selector().slotHeld(service_, now() - firstEventAt_);
   }
   if (!headSent_) {
@@ -194,7 +195,7 @@
 /// that had received part of its response is not reported, as a request that crashes a worker does
 /// so before it is answered.
 void Exchange::reportCut() {
-  if (answerNoted_ || worker_->view.record.leaving) {
+  if (isAnswerRecorded_ || worker_->view.record.leaving) {
     return;
   }
   context_.log().write(
@@ -202,12 +203,12 @@
       {{"request", facts_.requestId},
        {"digest", digest().text()},
        {"worker", worker_->view.record.id.value},
-       {"begun", std::string_view(headSeen_ ? "yes" : "no")},
+       {"begun", std::string_view(isHeadReceived_ ? "yes" : "no")},
        {"running", std::uint64_t{worker_->runningTogether()}},
        {"age-millis",
         static_cast<std::uint64_t>(
             std::chrono::duration_cast<std::chrono::milliseconds>(now() - attemptAt_).count())}});
-  context_.requestCut(*worker_, digest(), headSeen_);
+  context_.requestCut(*worker_, digest(), isHeadReceived_);
 }
 
 /// Reports that a suspect request was answered, also with an error of the worker's own: the worker
@@ -221,9 +222,9 @@
 void Exchange::onResponseFailure(const base::Error& error, bool sent) {
   stallTimer_->disable();
   context_.attemptFailed(*worker_);
-  const bool notRun = !sent || (headSeen_ && answer_.notExecuted);
-  if (!headSeen_ || !answer_.notExecuted) {
-    noteFailed();
+  const bool notRun = !sent || (isHeadReceived_ && answer_.notExecuted);
+  if (!isHeadReceived_ || !answer_.notExecuted) {
+    recordFailure();
   }
   if (!notRun) {
     reportCut();
--- a/src/gateway/exchange_wait.cpp
+++ b/src/gateway/exchange_wait.cpp
@@ -22,17 +22,17 @@
 /// Time for which a request for a model that only failing workers hold waits for another replica
 /// before it is sent to one of them: a load from disk takes 1 to 2 s, and callers abandon a stream
 /// that has not begun after 2 s at the earliest.
-constexpr base::Duration kReplicaPatience = std::chrono::milliseconds(1900);
+constexpr base::Duration kReplicaWaitTimeout = std::chrono::milliseconds(1900);
 /// @name Time after which callers on the users' platform abandon a stream that has not begun: the
 /// longest of the three
 /// @{
-constexpr base::Duration kLeastPatience = std::chrono::seconds(2);
-constexpr int kPatienceInTargets = 4;
-constexpr int kPatienceInGaps = 8;
+constexpr base::Duration kMinCallerTimeout = std::chrono::seconds(2);
+constexpr int kCallerTimeoutInTargets = 4;
+constexpr int kCallerTimeoutInGaps = 8;
 /// @}
 /// Without workers, or without a leader that could grant a share of a limit, a request waits for
 /// this fraction (1/n) of its target latency.
-constexpr int kPatienceDivisor = 4;
+constexpr int kShortWaitDivisor = 4;
 /// Time until a share of a limit is requested again from the leader.
 constexpr base::Duration kSharePatience = std::chrono::milliseconds(100);
 
@@ -58,12 +58,12 @@
 
 /// Another replica of a model may be loaded if the leader learns of the demand. A plain service
 /// gets no further worker this way, so its requests use a failing worker at once.
-bool Exchange::takesLastResort() const {
-  return facts_.model.empty() || !context_.leaderKnown() || now() >= arrivedAt_ + kReplicaPatience;
+bool Exchange::acceptsLastResort() const {
+  return facts_.model.empty() || !context_.hasLeader() || now() >= arrivedAt_ + kReplicaWaitTimeout;
 }
 
 void Exchange::beginWait(NoWorkerReason reason) {
-  if (std::exchange(waiting_, true)) {
+  if (std::exchange(isWaiting_, true)) {
     return;
   }
   waitBeganAt_ = now();
@@ -109,11 +109,11 @@
   if (headSent_) {
     return true;
   }
-  if (!context_.leaderKnown()) {
-    return now() < shortPatienceEnds();
+  if (!context_.hasLeader()) {
+    return now() < shortWaitDeadline();
   }
   return !facts_.model.empty() && selection.othersUnlimited &&
-         now() < arrivedAt_ + kReplicaPatience;
+         now() < arrivedAt_ + kReplicaWaitTimeout;
 }
 
 void Exchange::waitForLimit(const Selection& selection) {
@@ -126,14 +126,14 @@
   endShareWait();
   if (!refuseIfTooLate(NoWorkerReason::limited)) {
     const base::TimePoint next = now() + std::min(selection.shareIn, kSharePatience);
-    const bool forLeader = !headSent_ && !context_.leaderKnown();
-    retryTimer_->enableAt(forLeader ? std::min(next, shortPatienceEnds()) : next);
+    const bool forLeader = !headSent_ && !context_.hasLeader();
+    retryTimer_->enableAt(forLeader ? std::min(next, shortWaitDeadline()) : next);
   }
 }
 
 /// End of the short wait for conditions that are met within moments or not at all.
-base::TimePoint Exchange::shortPatienceEnds() const {
-  return arrivedAt_ + route_.targetLatency / kPatienceDivisor;
+base::TimePoint Exchange::shortWaitDeadline() const {
+  return arrivedAt_ + route_.targetLatency / kShortWaitDivisor;
 }
 
 void Exchange::wait(NoWorkerReason reason) {
@@ -142,7 +142,7 @@
     return;
   }
   const bool plain = facts_.model.empty();
-  if (plain && now() >= shortPatienceEnds()) {
+  if (plain && now() >= shortWaitDeadline()) {
     refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "no worker can be had", kRetryAfterFull);
     return;
   }
@@ -152,14 +152,14 @@
 }
 
 /// @return when the caller is expected to disconnect: callers abandon a stream that does not begin.
-base::TimePoint Exchange::callerLeavesAt() const {
+base::TimePoint Exchange::callerDisconnectsAt() const {
   if (!isStreaming()) {
     return deadline_;
   }
-  const base::Duration patience =
-      std::max({kLeastPatience, kPatienceInTargets * route_.targetLatency,
-                kPatienceInGaps * route_.targetGap});
-  return std::min(deadline_, arrivedAt_ + patience);
+  const base::Duration timeout =
+      std::max({kMinCallerTimeout, kCallerTimeoutInTargets * route_.targetLatency,
+                kCallerTimeoutInGaps * route_.targetGap});
+  return std::min(deadline_, arrivedAt_ + timeout);
 }
 
 /// Refuses a request whose caller would disconnect before the model is loaded. Retry-After says
@@ -170,7 +170,7 @@
     return false;
   }
   const auto expected = context_.expectedAt(service_, facts_.model);
-  if (!expected || *expected <= callerLeavesAt()) {
+  if (!expected || *expected <= callerDisconnectsAt()) {
     return false;
   }
   refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "the model comes too late", *expected - now());
@@ -179,7 +179,7 @@
 
 void Exchange::endWait() {
   endShareWait();
-  if (std::exchange(waiting_, false)) {
+  if (std::exchange(isWaiting_, false)) {
     waited_ += now() - waitBeganAt_;
     context_.waitEnded(service_, facts_);
   }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -110,14 +110,15 @@
   void requestCut(const Worker& worker, const registry::RequestDigest& request,
                   bool begun) override;
   void suspectAnswered(const registry::RequestDigest& request) override;
-  void answerRead(const Worker& worker, const AnswerFacts& answer, base::TimePoint sentAt) override;
+  void responseHeadReceived(const Worker& worker, const AnswerFacts& answer,
+                            base::TimePoint sentAt) override;
   void shareWaitBegan(const registry::WorkerId& worker) override;
   void shareWaitEnded(const registry::WorkerId& worker) override;
   void takeShare(const registry::WorkerId& worker) override;
   std::optional<base::TimePoint> expectedAt(const std::string& service,
                                             const std::string& model) const override;
   std::uint64_t documentVersion() const override;
-  bool leaderKnown() const override { return session_.following(); }
+  bool hasLeader() const override { return session_.following(); }
   void ended(Exchange& exchange, int status) override;
 
  private:
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -29,7 +29,8 @@
   return session_.followingWith(registry::feature::kWorkerLimits);
 }
 
-void Gateway::answerRead(const Worker& worker, const AnswerFacts& answer, base::TimePoint sentAt) {
+void Gateway::responseHeadReceived(const Worker& worker, const AnswerFacts& answer,
+                                   base::TimePoint sentAt) {
   const registry::WorkerId& id = worker.view.record.id;
   if (answer.limitError) {
     noteUnreadableLimit(worker, *answer.limitError);
