--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -97,8 +97,8 @@
     return;
   }
   const Selection selection = context_.selector().select(service_, facts_, excluded_, now());
-  if (selection.askable != nullptr) {
-    askForShare(*selection.askable);
+  if (selection.requestable != nullptr) {
+    requestShare(*selection.requestable);
     return;
   }
   if (selection.lastResort != nullptr && acceptsLastResort()) {
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -140,7 +140,7 @@
   void suspectsChanged();
   /// Selects a worker anew after the leader has granted or denied shares of limits.
   void sharesChanged();
-  bool waitsForShare() const { return shareOf_.has_value(); }
+  bool isWaitingForShare() const { return shareWorker_.has_value(); }
   /// @return the priority of this request among waiting ones: a lower number is served first.
   std::uint32_t priority() const { return facts_.tenantPriority.value_or(route_.priority); }
   /// Refuses the request if it waits for a worker, because the process is about to shut down.
@@ -181,7 +181,7 @@
   bool acceptsLastResort() const;
   void wait(NoWorkerReason reason);
   void beginWait(NoWorkerReason reason);
-  void askForShare(const Worker& worker);
+  void requestShare(const Worker& worker);
   void endShareWait();
   bool waitsForLimit(const Selection& selection) const;
   void waitForLimit(const Selection& selection);
@@ -236,7 +236,7 @@
 
   std::set<registry::WorkerId> excluded_;  ///< Workers that are not selected again for now.
   bool isWaiting_ = false;
-  std::optional<registry::WorkerId> shareOf_;  ///< Worker of the requested share.
+  std::optional<registry::WorkerId> shareWorker_;  ///< Worker of the requested share.
   base::TimePoint waitBeganAt_;
   base::Duration waited_{0};             ///< Total time waited for an available worker.
   bool mayHaveRun_ = false;              ///< Some earlier attempt was executed, or may have been.
--- a/src/gateway/exchange_wait.cpp
+++ b/src/gateway/exchange_wait.cpp
@@ -34,7 +34,7 @@
 /// this fraction (1/n) of its target latency.
 constexpr int kShortWaitDivisor = 4;
 /// Time until a share of a limit is requested again from the leader.
-constexpr base::Duration kSharePatience = std::chrono::milliseconds(100);
+constexpr base::Duration kShareRequestTimeout = std::chrono::milliseconds(100);
 
 std::string_view reasonName(NoWorkerReason reason) {
   switch (reason) {
@@ -78,27 +78,27 @@
 }
 
 /// Waits for a share of the worker's limit. The leader answers within a few ms, or is lost.
-void Exchange::askForShare(const Worker& worker) {
+void Exchange::requestShare(const Worker& worker) {
   const registry::WorkerId& id = worker.view.record.id;
   beginWait(NoWorkerReason::limited);
-  if (shareOf_ != id) {
+  if (shareWorker_ != id) {
     endShareWait();
-    shareOf_ = id;
+    shareWorker_ = id;
     context_.shareWaitBegan(id);
   }
-  retryTimer_->enableAt(now() + kSharePatience);
+  retryTimer_->enableAt(now() + kShareRequestTimeout);
 }
 
 void Exchange::sharesChanged() {
-  if (state_ == State::choosing && waitsForShare()) {
+  if (state_ == State::choosing && isWaitingForShare()) {
     endShareWait();
     choose();
   }
 }
 
 void Exchange::endShareWait() {
-  if (shareOf_) {
-    context_.shareWaitEnded(*std::exchange(shareOf_, std::nullopt));
+  if (shareWorker_) {
+    context_.shareWaitEnded(*std::exchange(shareWorker_, std::nullopt));
   }
 }
 
@@ -112,20 +112,21 @@
   if (!context_.hasLeader()) {
     return now() < shortWaitDeadline();
   }
-  return !facts_.model.empty() && selection.othersUnlimited &&
+  return !facts_.model.empty() && selection.hasUnlimitedWorkers &&
          now() < arrivedAt_ + kReplicaWaitTimeout;
 }
 
 void Exchange::waitForLimit(const Selection& selection) {
   if (!waitsForLimit(selection)) {
     context_.metrics().count("walnut_gateway_limited_total", "refused");
-    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "limit of its workers", selection.shareIn);
+    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "limit of its workers",
+           selection.shareAvailableIn);
     return;
   }
   beginWait(NoWorkerReason::limited);
   endShareWait();
   if (!refuseIfTooLate(NoWorkerReason::limited)) {
-    const base::TimePoint next = now() + std::min(selection.shareIn, kSharePatience);
+    const base::TimePoint next = now() + std::min(selection.shareAvailableIn, kShareRequestTimeout);
     const bool forLeader = !headSent_ && !context_.hasLeader();
     retryTimer_->enableAt(forLeader ? std::min(next, shortWaitDeadline()) : next);
   }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -81,7 +81,7 @@
 
 void Gateway::viewReceived(const registry::ViewUpdate& update) {
   directory_.apply(update);
-  takeLimits(update);
+  applyLimits(update);
   gateways_ = std::max<std::uint32_t>(1, update.gateways);
   noteNewest(update.documentVersion);
   for (auto& [service, budget] : budgets_) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -41,7 +41,7 @@
 /// it continues with the last known state, but never returns to an older document. Its knowledge of
 /// keys counts only while confirmed (DocumentLease): otherwise requests that need a key are refused
 /// as not run.
-class Gateway : public net::RequestHandler, public ExchangeContext, private ShareView {
+class Gateway : public net::RequestHandler, public ExchangeContext, private ShareLookup {
  public:
   Gateway(const GatewayOptions& options, event::Scheduler& scheduler, const RequestDialect& dialect,
           AttemptLauncher& launcher, RegistrySession& session, runtime::EventLog& log,
@@ -127,8 +127,8 @@
   static constexpr std::uint32_t kUnknownGateways = 16;
   static constexpr base::Duration kRetryAfterRefusal = std::chrono::milliseconds(200);
 
-  // ShareView
-  ShareStanding standing(const registry::WorkerId& worker) override;
+  // ShareLookup
+  ShareState shareState(const registry::WorkerId& worker) override;
   bool limited(const registry::WorkerId& worker) const override {
     return limits_.limitOf(worker).has_value();
   }
@@ -163,13 +163,13 @@
   void askForQuota(bool all);
   void askForQuotaSoon();
   bool sharesLimits() const;
-  void takeLimits(const registry::ViewUpdate& update);
-  void noteLimitChange(const std::optional<WorkerLimits::Change>& change, std::string_view source);
-  void noteUnreadableLimit(const Worker& worker, const base::Error& error);
+  void applyLimits(const registry::ViewUpdate& update);
+  void logLimitChange(const std::optional<WorkerLimits::Change>& change, std::string_view source);
+  void logUnreadableLimit(const Worker& worker, const base::Error& error);
   void reportLimits();
   void reportLimitsSoon();
-  void askForShares(bool all);
-  void askForSharesSoon();
+  void requestShares(bool all);
+  void requestSharesSoon();
   void reviewShares();
   base::Duration shareInterval() const;
   void wakeShareWaiters();
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -17,9 +17,9 @@
 using runtime::LogEvent;
 
 /// Time between two share requests to the leader while requests wait for its answer.
-constexpr base::Duration kShareReview = std::chrono::milliseconds(50);
+constexpr base::Duration kShareReviewInterval = std::chrono::milliseconds(50);
 /// Maximum number of workers whose unreadable limits are remembered, so that each is logged once.
-constexpr std::size_t kMostUnreadable = 256;
+constexpr std::size_t kMaxUnreadableLimits = 256;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
                                    base::TimePoint sentAt) {
   const registry::WorkerId& id = worker.view.record.id;
   if (answer.limitError) {
-    noteUnreadableLimit(worker, *answer.limitError);
+    logUnreadableLimit(worker, *answer.limitError);
     return;
   }
   // An unsealed rejection is made before a worker looks at the request: it counts only if it
@@ -43,13 +43,14 @@
     return;
   }
   limits_.setSharing(sharesLimits(), gateways_);
-  noteLimitChange(limits_.answered(id, answer.limit, sentAt, scheduler_.readClock()), "answer");
+  logLimitChange(limits_.responseReceived(id, answer.limit, sentAt, scheduler_.readClock()),
+                 "answer");
   reportLimitsSoon();
 }
 
-void Gateway::noteUnreadableLimit(const Worker& worker, const base::Error& error) {
+void Gateway::logUnreadableLimit(const Worker& worker, const base::Error& error) {
   metrics_.count("walnut_gateway_limited_total", "unreadable");
-  if (unreadableLimits_.size() >= kMostUnreadable ||
+  if (unreadableLimits_.size() >= kMaxUnreadableLimits ||
       !unreadableLimits_.insert(worker.view.record.id).second) {
     return;
   }
@@ -59,15 +60,15 @@
                                       {"detail", error.detail}});
 }
 
-void Gateway::noteLimitChange(const std::optional<WorkerLimits::Change>& change,
-                              std::string_view source) {
+void Gateway::logLimitChange(const std::optional<WorkerLimits::Change>& change,
+                             std::string_view source) {
   if (!change) {
     return;
   }
   log_.write(change->perSecond ? LogEvent::workerLimited : LogEvent::workerLimitEnded,
              {{"worker", change->worker.value},
               {"limit", registry::limitText(change->perSecond)},
-              {"former", registry::limitText(change->former)},
+              {"former", registry::limitText(change->previous)},
               {"source", source},
               {"shared", sharesLimits() ? "yes" : "no"},
               {"gateways", std::uint64_t{gateways_}}});
@@ -75,11 +76,11 @@
 }
 
 /// Applies the limits of a view. Called before the view wakes the waiting requests.
-void Gateway::takeLimits(const registry::ViewUpdate& update) {
+void Gateway::applyLimits(const registry::ViewUpdate& update) {
   const base::TimePoint now = scheduler_.now();
   limits_.setSharing(sharesLimits(), std::max<std::uint32_t>(1, update.gateways));
   for (const registry::WorkerView& view : update.changed) {
-    noteLimitChange(limits_.told(view.record.id, view.limit, now), "leader");
+    logLimitChange(limits_.leaderAnnounced(view.record.id, view.limit, now), "leader");
   }
   if (limits_.any() && (update.complete || !update.removed.empty())) {
     limits_.forgetIf([this](const registry::WorkerId& worker) {
@@ -115,12 +116,12 @@
 
 /// Reads the clock instead of the loop's time: the process may have been suspended since the event
 /// loop iteration began, for longer than a granted share is valid.
-ShareStanding Gateway::standing(const registry::WorkerId& worker) {
+ShareState Gateway::shareState(const registry::WorkerId& worker) {
   if (!limits_.any()) {
-    return ShareStanding::open;
+    return ShareState::open;
   }
   limits_.setSharing(sharesLimits(), gateways_);
-  return limits_.standing(worker, scheduler_.readClock());
+  return limits_.shareState(worker, scheduler_.readClock());
 }
 
 base::Duration Gateway::shareRetryAfter(const registry::WorkerId& worker) {
@@ -136,8 +137,8 @@
 void Gateway::shareWaitBegan(const registry::WorkerId& worker) {
   limits_.waitBegan(worker);
   ++shareWaiters_;
-  shareTimer_->enableAt(scheduler_.now() + kShareReview);
-  askForSharesSoon();
+  shareTimer_->enableAt(scheduler_.now() + kShareReviewInterval);
+  requestSharesSoon();
 }
 
 void Gateway::shareWaitEnded(const registry::WorkerId& worker) {
@@ -147,17 +148,17 @@
 
 /// Schedules one share request for all requests that came within an event loop iteration, sent
 /// after the report of limits in answers.
-void Gateway::askForSharesSoon() {
+void Gateway::requestSharesSoon() {
   if (!std::exchange(sharesSoon_, true)) {
     scheduler_.runSoon([this] {
       sharesSoon_ = false;
       reportLimits();
-      askForShares(false);
+      requestShares(false);
     });
   }
 }
 
-void Gateway::askForShares(bool all) {
+void Gateway::requestShares(bool all) {
   if (!sharesLimits()) {
     return;
   }
@@ -167,11 +168,11 @@
 }
 
 base::Duration Gateway::shareInterval() const {
-  return shareWaiters_ > 0 ? kShareReview : QuotaAccount::kInterval;
+  return shareWaiters_ > 0 ? kShareReviewInterval : QuotaAccount::kInterval;
 }
 
 void Gateway::reviewShares() {
-  askForShares(shareWaiters_ == 0);
+  requestShares(shareWaiters_ == 0);
   if (limits_.any()) {
     shareTimer_->enableAt(scheduler_.now() + shareInterval());
   }
@@ -182,11 +183,11 @@
     return;
   }
   for (const registry::WorkerId& worker : grant.unlimited) {
-    noteLimitChange(limits_.unlimited(worker), "leader");
+    logLimitChange(limits_.unlimited(worker), "leader");
   }
   wakeShareWaiters();
   if (shareWaiters_ > 0) {
-    askForSharesSoon();
+    requestSharesSoon();
   }
 }
 
@@ -194,7 +195,7 @@
 void Gateway::wakeShareWaiters() {
   std::vector<std::pair<std::uint32_t, std::uint64_t>> waiters;
   for (const auto& [number, exchange] : exchanges_) {
-    if (exchange->waitsForShare()) {
+    if (exchange->isWaitingForShare()) {
       waiters.emplace_back(exchange->priority(), number);
     }
   }
--- a/src/gateway/worker_limits.cpp
+++ b/src/gateway/worker_limits.cpp
@@ -10,15 +10,15 @@
 /// Fraction of a limit that all gateways together send while no leader divides it. With the shares
 /// granted besides by a leader that has just ended, or that only some gateways follow, the sum
 /// stays within one and a half times the limit.
-constexpr double kUnsharedShare = 0.4;
+constexpr double kUnsharedFraction = 0.4;
 /// Lower bound of that rate, in requests per second, so that some gateway gets an answer that shows
 /// the end of a low limit.
-constexpr double kLeastUnshared = 0.1;
+constexpr double kMinUnsharedRate = 0.1;
 /// Time between two reports of answers without a limit from one worker: the leader responds with a
 /// view.
-constexpr base::Duration kEndSpacing = std::chrono::milliseconds(200);
-constexpr base::Duration kShortestRetryAfter = std::chrono::milliseconds(50);
-constexpr base::Duration kLongestRetryAfter = std::chrono::seconds(8);
+constexpr base::Duration kEndReportSpacing = std::chrono::milliseconds(200);
+constexpr base::Duration kMinRetryAfter = std::chrono::milliseconds(50);
+constexpr base::Duration kMaxRetryAfter = std::chrono::seconds(8);
 /// Relative random increase of Retry-After, so that callers refused together do not return
 /// together.
 constexpr double kRetrySpread = 0.5;
@@ -52,69 +52,69 @@
 
 std::optional<double> WorkerLimits::limitOf(const registry::WorkerId& worker) const {
   const auto found = limits_.find(worker);
-  return found == limits_.end() ? std::nullopt : std::optional(found->second.named.perSecond);
+  return found == limits_.end() ? std::nullopt : std::optional(found->second.announced.perSecond);
 }
 
-std::optional<WorkerLimits::Change> WorkerLimits::answered(const registry::WorkerId& worker,
-                                                           const std::optional<double>& perSecond,
-                                                           base::TimePoint sentAt,
-                                                           base::TimePoint now) {
-  return perSecond ? named(worker, *perSecond, sentAt, now) : notNamed(worker, sentAt, now);
+std::optional<WorkerLimits::Change> WorkerLimits::responseReceived(
+    const registry::WorkerId& worker, const std::optional<double>& perSecond,
+    base::TimePoint sentAt, base::TimePoint now) {
+  return perSecond ? limitAnnounced(worker, *perSecond, sentAt, now)
+                   : limitAbsent(worker, sentAt, now);
 }
 
-std::optional<WorkerLimits::Change> WorkerLimits::named(const registry::WorkerId& worker,
-                                                        double perSecond, base::TimePoint sentAt,
-                                                        base::TimePoint now) {
-  const std::optional<double> former = limitOf(worker);
+std::optional<WorkerLimits::Change> WorkerLimits::limitAnnounced(const registry::WorkerId& worker,
+                                                                 double perSecond,
+                                                                 base::TimePoint sentAt,
+                                                                 base::TimePoint now) {
+  const std::optional<double> previous = limitOf(worker);
   Limit& limit = limits_[worker];
-  limit.lastNamedAt = now;
-  if (former && !limit.named.yieldsTo(perSecond, sentAt)) {
+  limit.lastAnnouncedAt = now;
+  if (previous && !limit.announced.yieldsTo(perSecond, sentAt)) {
     return std::nullopt;
   }
-  limit.named = {perSecond, now};
+  limit.announced = {perSecond, now};
   limit.unshared.reset();
   noteSighting(worker, perSecond, sentAt, now);
-  return Change{worker, perSecond, former};
+  return Change{worker, perSecond, previous};
 }
 
 /// Processes an answer without a limit. If a leader is followed, only the leader ends the limit,
 /// for all gateways at the same time.
-std::optional<WorkerLimits::Change> WorkerLimits::notNamed(const registry::WorkerId& worker,
-                                                           base::TimePoint sentAt,
-                                                           base::TimePoint now) {
+std::optional<WorkerLimits::Change> WorkerLimits::limitAbsent(const registry::WorkerId& worker,
+                                                              base::TimePoint sentAt,
+                                                              base::TimePoint now) {
   const auto found = limits_.find(worker);
-  if (found == limits_.end() || !found->second.named.endsBy(sentAt)) {
+  if (found == limits_.end() || !found->second.announced.endsBy(sentAt)) {
     return std::nullopt;
   }
   Limit& limit = found->second;
   if (!shared_) {
     return erase(worker);
   }
-  if (now >= limit.endToldAt + kEndSpacing) {
-    limit.endToldAt = now;
+  if (now >= limit.endReportedAt + kEndReportSpacing) {
+    limit.endReportedAt = now;
     noteSighting(worker, std::nullopt, sentAt, now);
   }
   return std::nullopt;
 }
 
-std::optional<WorkerLimits::Change> WorkerLimits::told(const registry::WorkerId& worker,
-                                                       const std::optional<double>& perSecond,
-                                                       base::TimePoint now) {
+std::optional<WorkerLimits::Change> WorkerLimits::leaderAnnounced(
+    const registry::WorkerId& worker, const std::optional<double>& perSecond, base::TimePoint now) {
   const auto found = limits_.find(worker);
   if (!perSecond) {
     // A limit that has not been reported to the leader yet stays in force.
-    return found != limits_.end() && found->second.toldByLeader ? erase(worker) : std::nullopt;
+    return found != limits_.end() && found->second.isFromLeader ? erase(worker) : std::nullopt;
   }
-  const std::optional<double> former = limitOf(worker);
+  const std::optional<double> previous = limitOf(worker);
   Limit& limit = limits_[worker];
-  limit.toldByLeader = true;
-  if (former == perSecond) {
+  limit.isFromLeader = true;
+  if (previous == perSecond) {
     return std::nullopt;
   }
-  limit.lastNamedAt = former ? limit.lastNamedAt : now;
-  limit.named = {*perSecond, now};
+  limit.lastAnnouncedAt = previous ? limit.lastAnnouncedAt : now;
+  limit.announced = {*perSecond, now};
   limit.unshared.reset();
-  return Change{worker, perSecond, former};
+  return Change{worker, perSecond, previous};
 }
 
 std::optional<WorkerLimits::Change> WorkerLimits::unlimited(const registry::WorkerId& worker) {
@@ -122,39 +122,39 @@
 }
 
 std::optional<WorkerLimits::Change> WorkerLimits::erase(const registry::WorkerId& worker) {
-  const double former = limits_.at(worker).named.perSecond;
+  const double previous = limits_.at(worker).announced.perSecond;
   forget(worker);
-  return Change{worker, std::nullopt, former};
+  return Change{worker, std::nullopt, previous};
 }
 
 void WorkerLimits::forget(const registry::WorkerId& worker) {
   limits_.erase(worker);
-  untold_.erase(worker);
+  unreported_.erase(worker);
   shares_.forget(worker.value);
 }
 
 void WorkerLimits::leaderFollowed() {
   shares_.leaderLost();
-  untold_.clear();
+  unreported_.clear();
   for (auto& [worker, limit] : limits_) {
-    limit.toldByLeader = false;
-    limit.endToldAt = {};
-    noteSighting(worker, limit.named.perSecond, limit.named.since, limit.lastNamedAt);
+    limit.isFromLeader = false;
+    limit.endReportedAt = {};
+    noteSighting(worker, limit.announced.perSecond, limit.announced.since, limit.lastAnnouncedAt);
   }
 }
 
 void WorkerLimits::noteSighting(const registry::WorkerId& worker,
                                 const std::optional<double>& perSecond, base::TimePoint sentAt,
                                 base::TimePoint answeredAt) {
-  untold_[worker] = {perSecond, sentAt, answeredAt};
+  unreported_[worker] = {perSecond, sentAt, answeredAt};
 }
 
 std::optional<registry::LimitReport> WorkerLimits::takeReport(base::TimePoint now) {
-  if (untold_.empty()) {
+  if (unreported_.empty()) {
     return std::nullopt;
   }
   registry::LimitReport report;
-  for (const auto& [worker, sighting] : std::exchange(untold_, {})) {
+  for (const auto& [worker, sighting] : std::exchange(unreported_, {})) {
     report.sightings.push_back(
         {worker, sighting.perSecond, now - sighting.sentAt, now - sighting.answeredAt});
   }
@@ -174,23 +174,22 @@
 
 UnsharedRate& WorkerLimits::unsharedRate(Limit& limit, base::TimePoint now) {
   if (!limit.unshared) {
-    const double rate = std::max(kUnsharedShare * limit.named.perSecond, kLeastUnshared);
+    const double rate = std::max(kUnsharedFraction * limit.announced.perSecond, kMinUnsharedRate);
     limit.unshared.emplace(toDuration(gateways_ / rate), random_.unit(), now);
   }
   return *limit.unshared;
 }
 
-ShareStanding WorkerLimits::standing(const registry::WorkerId& worker, base::TimePoint now) {
+ShareState WorkerLimits::shareState(const registry::WorkerId& worker, base::TimePoint now) {
   const auto found = limits_.find(worker);
   if (found == limits_.end() || shares_.covers(worker.value, 1, now)) {
-    return ShareStanding::open;
+    return ShareState::open;
   }
   if (!shared_) {
-    return unsharedRate(found->second, now).allows(now) ? ShareStanding::open
-                                                        : ShareStanding::spent;
+    return unsharedRate(found->second, now).allows(now) ? ShareState::open : ShareState::exhausted;
   }
   shares_.noteWanted(worker.value, now);
-  return shares_.shortFor(worker.value, now) ? ShareStanding::spent : ShareStanding::askable;
+  return shares_.shortFor(worker.value, now) ? ShareState::exhausted : ShareState::requestable;
 }
 
 base::Duration WorkerLimits::retryAfter(const registry::WorkerId& worker, base::TimePoint now) {
@@ -203,7 +202,7 @@
               : unsharedRate(found->second, now).next() - now;
   const double spread = 1 + kRetrySpread * random_.unit();
   const base::Duration spreadOut = toDuration(std::chrono::duration<double>(left).count() * spread);
-  return std::clamp<base::Duration>(spreadOut, kShortestRetryAfter, kLongestRetryAfter);
+  return std::clamp<base::Duration>(spreadOut, kMinRetryAfter, kMaxRetryAfter);
 }
 
 void WorkerLimits::take(const registry::WorkerId& worker, base::TimePoint now) {
--- a/src/gateway/worker_limits.h
+++ b/src/gateway/worker_limits.h
@@ -51,7 +51,7 @@
   struct Change {
     registry::WorkerId worker;
     std::optional<double> perSecond;
-    std::optional<double> former;
+    std::optional<double> previous;
   };
 
   /// @name Known limits
@@ -60,12 +60,13 @@
   std::optional<double> limitOf(const registry::WorkerId& worker) const;
   /// Processes an answer of the worker to a request that was sent at `sentAt`.
   /// @param perSecond limit in the answer; absent if it announces none.
-  std::optional<Change> answered(const registry::WorkerId& worker,
-                                 const std::optional<double>& perSecond, base::TimePoint sentAt,
-                                 base::TimePoint now);
+  std::optional<Change> responseReceived(const registry::WorkerId& worker,
+                                         const std::optional<double>& perSecond,
+                                         base::TimePoint sentAt, base::TimePoint now);
   /// Processes a limit announced by the followed leader; absent: the leader knows of none.
-  std::optional<Change> told(const registry::WorkerId& worker,
-                             const std::optional<double>& perSecond, base::TimePoint now);
+  std::optional<Change> leaderAnnounced(const registry::WorkerId& worker,
+                                        const std::optional<double>& perSecond,
+                                        base::TimePoint now);
   /// Ends a limit of which the followed leader knows nothing.
   std::optional<Change> unlimited(const registry::WorkerId& worker);
   void forget(const registry::WorkerId& worker);
@@ -82,7 +83,7 @@
   /// @param shared true if a leader divides the limits among the gateways.
   /// @param gateways number of gateways that send to a worker if no leader divides its limit.
   void setSharing(bool shared, std::uint32_t gateways);
-  ShareStanding standing(const registry::WorkerId& worker, base::TimePoint now);
+  ShareState shareState(const registry::WorkerId& worker, base::TimePoint now);
   /// @return the time until a request may be sent, for a worker whose share is spent.
   base::Duration retryAfter(const registry::WorkerId& worker, base::TimePoint now);
   /// Takes the permit of a request that is sent to the worker, where `standing` is open.
@@ -97,17 +98,17 @@
 
  private:
   struct Limit {
-    registry::NamedLimit named;
-    base::TimePoint lastNamedAt;           ///< In an answer, or by the leader.
-    bool toldByLeader = false;             ///< By the followed leader.
-    base::TimePoint endToldAt;             ///< Last report of an answer without a limit.
+    registry::NamedLimit announced;
+    base::TimePoint lastAnnouncedAt;       ///< In an answer, or by the leader.
+    bool isFromLeader = false;             ///< By the followed leader.
+    base::TimePoint endReportedAt;         ///< Last report of an answer without a limit.
     std::optional<UnsharedRate> unshared;  ///< Used without a leader.
   };
 
-  std::optional<Change> named(const registry::WorkerId& worker, double perSecond,
-                              base::TimePoint sentAt, base::TimePoint now);
-  std::optional<Change> notNamed(const registry::WorkerId& worker, base::TimePoint sentAt,
-                                 base::TimePoint now);
+  std::optional<Change> limitAnnounced(const registry::WorkerId& worker, double perSecond,
+                                       base::TimePoint sentAt, base::TimePoint now);
+  std::optional<Change> limitAbsent(const registry::WorkerId& worker, base::TimePoint sentAt,
+                                    base::TimePoint now);
   std::optional<Change> erase(const registry::WorkerId& worker);
   UnsharedRate& unsharedRate(Limit& limit, base::TimePoint now);
   void noteSighting(const registry::WorkerId& worker, const std::optional<double>& perSecond,
@@ -122,7 +123,7 @@
 
   base::Random random_;
   std::map<registry::WorkerId, Limit> limits_;
-  std::map<registry::WorkerId, Sighting> untold_;
+  std::map<registry::WorkerId, Sighting> unreported_;
   QuotaAccount shares_;
   bool shared_ = false;
   std::uint32_t gateways_ = 1;
--- a/src/gateway/worker_selector.cpp
+++ b/src/gateway/worker_selector.cpp
@@ -83,10 +83,10 @@
       worse(NoWorkerReason::broken);
     } else if (worker->view.failing) {
       worse(NoWorkerReason::failing);
-      if (standing(*worker) == ShareStanding::open) {
+      if (shareState(*worker) == ShareState::open) {
         candidates.failing.push_back(worker);
       }
-    } else if (const ShareStanding share = standing(*worker); share != ShareStanding::open) {
+    } else if (const ShareState share = shareState(*worker); share != ShareState::open) {
       worse(NoWorkerReason::limited);
       addLimited(worker, share, candidates, selection);
     } else {
@@ -103,9 +103,9 @@
   if (selection.worker != nullptr) {
     selection.expectedWait = expectedWait(service, *selection.worker);
   } else {
-    selection.askable = cheapest(candidates.askable, typical, service, facts, now);
+    selection.requestable = cheapest(candidates.requestable, typical, service, facts, now);
     selection.lastResort = cheapest(candidates.failing, typical, service, facts, now);
-    selection.othersUnlimited =
+    selection.hasUnlimitedWorkers =
         selection.reason == NoWorkerReason::limited && hasUnlimited(service);
   }
   return selection;
@@ -118,19 +118,19 @@
   });
 }
 
-ShareStanding WorkerSelector::standing(const Worker& worker) const {
-  return shares_ == nullptr ? ShareStanding::open : shares_->standing(worker.view.record.id);
+ShareState WorkerSelector::shareState(const Worker& worker) const {
+  return shares_ == nullptr ? ShareState::open : shares_->shareState(worker.view.record.id);
 }
 
-void WorkerSelector::addLimited(const WorkerDirectory::WorkerPtr& worker, ShareStanding standing,
+void WorkerSelector::addLimited(const WorkerDirectory::WorkerPtr& worker, ShareState shareState,
                                 Candidates& candidates, Selection& selection) const {
-  if (standing == ShareStanding::askable) {
-    candidates.askable.push_back(worker);
+  if (shareState == ShareState::requestable) {
+    candidates.requestable.push_back(worker);
     return;
   }
   const base::Duration in = shares_->shareRetryAfter(worker->view.record.id);
-  const bool first = selection.shareIn == base::Duration::zero();
-  selection.shareIn = first ? in : std::min(selection.shareIn, in);
+  const bool first = selection.shareAvailableIn == base::Duration::zero();
+  selection.shareAvailableIn = first ? in : std::min(selection.shareAvailableIn, in);
 }
 
 WorkerDirectory::WorkerPtr WorkerSelector::cheapest(
--- a/src/gateway/worker_selector.h
+++ b/src/gateway/worker_selector.h
@@ -28,17 +28,17 @@
 };
 
 /// Whether a worker's rate limit permits a request of this gateway.
-enum class ShareStanding : std::uint8_t {
-  open,     ///< It has no limit, or the granted share covers a request.
-  askable,  ///< The leader may grant a share on request.
-  spent,    ///< No share is available now.
+enum class ShareState : std::uint8_t {
+  open,         ///< It has no limit, or the granted share covers a request.
+  requestable,  ///< The leader may grant a share on request.
+  exhausted,    ///< No share is available now.
 };
 
 /// Query interface of the selector for the rate limits of workers. Implemented by the gateway.
-class ShareView {
+class ShareLookup {
  public:
-  virtual ~ShareView() = default;
-  virtual ShareStanding standing(const registry::WorkerId& worker) = 0;
+  virtual ~ShareLookup() = default;
+  virtual ShareState shareState(const registry::WorkerId& worker) = 0;
   virtual bool limited(const registry::WorkerId& worker) const = 0;
   /// @return the time until a share is available, for a worker whose share is spent.
   virtual base::Duration shareRetryAfter(const registry::WorkerId& worker) = 0;
@@ -50,13 +50,13 @@
   /// The best of the failing workers, if `worker` is null: used where waiting does not help.
   WorkerDirectory::WorkerPtr lastResort;
   /// The best worker for which a share may be requested, if `worker` is null.
-  WorkerDirectory::WorkerPtr askable;
+  WorkerDirectory::WorkerPtr requestable;
   NoWorkerReason reason = NoWorkerReason::noWorkers;
   /// Time until the limit of some worker permits a request; zero unless the reason is `limited`.
-  base::Duration shareIn{0};
+  base::Duration shareAvailableIn{0};
   /// True if the reason is `limited` and other workers of the service have no limit: the model may
   /// be loaded there.
-  bool othersUnlimited = false;
+  bool hasUnlimitedWorkers = false;
   /// Expected time until a slot of the worker is free; zero if one is free now, or if the time is
   /// not known.
   base::Duration expectedWait{0};
@@ -101,7 +101,7 @@
 
   /// @param shares null: no worker has a limit.
   WorkerSelector(const WorkerDirectory& directory, const WorkerSelectorOptions& options,
-                 ConnectedTo connectedTo, ShareView* shares = nullptr)
+                 ConnectedTo connectedTo, ShareLookup* shares = nullptr)
       : directory_(directory),
         options_(options),
         random_(options.seed),
@@ -121,12 +121,12 @@
   struct Candidates {
     std::vector<WorkerDirectory::WorkerPtr> usable;
     std::vector<WorkerDirectory::WorkerPtr> failing;
-    std::vector<WorkerDirectory::WorkerPtr> askable;
+    std::vector<WorkerDirectory::WorkerPtr> requestable;
   };
 
-  ShareStanding standing(const Worker& worker) const;
+  ShareState shareState(const Worker& worker) const;
   bool hasUnlimited(const std::string& service) const;
-  void addLimited(const WorkerDirectory::WorkerPtr& worker, ShareStanding standing,
+  void addLimited(const WorkerDirectory::WorkerPtr& worker, ShareState shareState,
                   Candidates& candidates, Selection& selection) const;
   base::Duration expectedWait(const std::string& service, const Worker& worker) const;
   WorkerDirectory::WorkerPtr cheapest(const std::vector<WorkerDirectory::WorkerPtr>& workers,
@@ -139,7 +139,7 @@
   const WorkerSelectorOptions options_;
   base::Random random_;
   const ConnectedTo connectedTo_;
-  ShareView* const shares_;
+  ShareLookup* const shares_;
   PromptAffinity affinity_;
   std::map<std::string, routing::MovingAverage> slotTimes_;  ///< Slot times of streams, by service.
 };
