--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -129,7 +129,7 @@
   quota_.leaderLost();
   limits_.leaderFollowed();
   askForDocument();
-  askForQuota(true);
+  requestQuota(true);
 }
 
 std::optional<RequestQuarantine::Classification> Gateway::classificationOf(
@@ -304,17 +304,17 @@
     }
   }
   facts.key.clear();
-  UnpaidRequest unpaid{std::move(request), &sink, std::move(facts),
-                       document_,          route, scheduler_.now()};
+  PendingRequest pending{std::move(request), &sink, std::move(facts),
+                         document_,          route, scheduler_.now()};
   if (tenant != nullptr && tenant->limited() &&
-      !quota_.take(tenant->name, unpaid.facts.quotaCost, scheduler_.readClock())) {
-    waitForQuota(std::move(unpaid));
+      !quota_.take(tenant->name, pending.facts.quotaCost, scheduler_.readClock())) {
+    queueForQuota(std::move(pending));
     return;
   }
-  admit(std::move(unpaid));
+  admit(std::move(pending));
 }
 
-void Gateway::admit(UnpaidRequest admitted) {
+void Gateway::admit(PendingRequest admitted) {
   const catalog::Route& route = *admitted.route;
   RequestFacts& facts = admitted.facts;
   const std::string service = pickService(route);
@@ -478,7 +478,7 @@
     const RequestFacts& facts = exchange.facts();
     countTenant(facts.tenant, status);
     if (facts.quotaCost > 0 && !exchange.mayHaveRun()) {
-      quota_.giveBack(facts.tenant, facts.quotaCost, scheduler_.now());
+      quota_.refund(facts.tenant, facts.quotaCost, scheduler_.now());
     }
     scheduler_.destroySoon(std::move(found->second));
     exchanges_.erase(found);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -142,17 +142,17 @@
   };
 
   /// An authenticated request whose cost has to be taken from its tenant's quota.
-  struct UnpaidRequest {
+  struct PendingRequest {
     net::HttpRequest request;
     net::ResponseSink* sink = nullptr;
     RequestFacts facts;
     std::shared_ptr<const catalog::Document> document;  ///< Keeps the route alive.
     const catalog::Route* route = nullptr;
     base::TimePoint arrivedAt;
-    base::TimePoint until;       ///< It is refused then.
-    std::uint64_t question = 0;  ///< First quota request that covers it; 0: none.
+    base::TimePoint until;            ///< It is refused then.
+    std::uint64_t quotaSequence = 0;  ///< First quota request that covers it; 0: none.
   };
-  using UnpaidRequests = std::list<UnpaidRequest>;
+  using PendingRequests = std::list<PendingRequest>;
 
   /// @return true once requests can be routed and authenticated at all.
   bool prepared() const;
@@ -160,8 +160,8 @@
   void noteLease(base::TimePoint now);
   void countTenant(const std::string& tenant, int status);
   void askForDocument();
-  void askForQuota(bool all);
-  void askForQuotaSoon();
+  void requestQuota(bool all);
+  void requestQuotaSoon();
   bool sharesLimits() const;
   void applyLimits(const registry::ViewUpdate& update);
   void logLimitChange(const std::optional<WorkerLimits::Change>& change, std::string_view source);
@@ -174,9 +174,10 @@
   base::Duration shareInterval() const;
   void wakeShareWaiters();
   void reviewQuota();
-  void waitForQuota(UnpaidRequest unpaid);
-  void settleUnpaid(const std::string& tenant, std::uint64_t question, base::Duration retryAfter);
-  void admit(UnpaidRequest admitted);
+  void queueForQuota(PendingRequest pending);
+  void settlePending(const std::string& tenant, std::uint64_t quotaSequence,
+                     base::Duration retryAfter);
+  void admit(PendingRequest admitted);
   /// @param waited time that the request has spent here.
   void routeRequest(net::HttpRequest request, net::ResponseSink& sink, base::Duration waited);
   void keepEarly(net::HttpRequest request, net::ResponseSink& sink);
@@ -212,8 +213,8 @@
   bool leaseNoted_ = false;  ///< Validity of the lease as last logged.
   event::TimerPtr leaseTimer_;
   QuotaAccount quota_;
-  std::map<std::string, UnpaidRequests> unpaid_;  ///< By tenant; without empty lists.
-  std::size_t unpaidCount_ = 0;
+  std::map<std::string, PendingRequests> pendingRequests_;  ///< By tenant; without empty lists.
+  std::size_t pendingCount_ = 0;
   std::set<std::string> countedTenants_;  ///< Tenants with a metric of their own.
   event::TimerPtr quotaTimer_;
   bool quotaSoon_ = false;
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -31,10 +31,10 @@
 /// @{
 /// Maximum wait for the answer. A round trip to the leader takes a few ms; only a change of leader
 /// takes longer, and a request with a long target latency can wait for its end.
-constexpr base::Duration kLongestWait = std::chrono::milliseconds(1500);
-constexpr std::size_t kMostUnpaid = 1024;
-constexpr std::size_t kMostCountedTenants = 100;
-constexpr base::Duration kUnpaidReview = std::chrono::milliseconds(50);
+constexpr base::Duration kMaxQuotaWait = std::chrono::milliseconds(1500);
+constexpr std::size_t kMaxPendingRequests = 1024;
+constexpr std::size_t kMaxCountedTenants = 100;
+constexpr base::Duration kPendingReviewInterval = std::chrono::milliseconds(50);
 /// @}
 
 double costOf(const catalog::Tenant& tenant, const RequestFacts& facts) {
@@ -89,13 +89,13 @@
     return;
   }
   const bool known = countedTenants_.count(tenant) != 0;
-  const bool named = known || countedTenants_.size() < kMostCountedTenants;
-  if (named) {
+  const bool hasLabel = known || countedTenants_.size() < kMaxCountedTenants;
+  if (hasLabel) {
     countedTenants_.insert(tenant);
   }
   metrics_.count(status == kTooManyRequests ? "walnut_gateway_tenant_over_quota_total"
                                             : "walnut_gateway_tenant_requests_total",
-                 named ? tenant : std::string("other"));
+                 hasLabel ? tenant : std::string("other"));
 }
 
 void Gateway::noteLease(base::TimePoint now) {
@@ -138,52 +138,53 @@
 
 // Quotas
 
-void Gateway::waitForQuota(UnpaidRequest unpaid) {
-  const std::string& tenant = unpaid.facts.tenant;
-  if (unpaidCount_ >= kMostUnpaid) {
-    refuse(*unpaid.sink, unpaid.facts.requestId, kUnavailable, "too many wait for their quota",
+void Gateway::queueForQuota(PendingRequest pending) {
+  const std::string& tenant = pending.facts.tenant;
+  if (pendingCount_ >= kMaxPendingRequests) {
+    refuse(*pending.sink, pending.facts.requestId, kUnavailable, "too many wait for their quota",
            kRetryAfterRefusal, tenant);
     return;
   }
-  const base::Duration patience = std::min(kLongestWait, unpaid.route->targetLatency);
-  unpaid.until = unpaid.arrivedAt + patience;
-  quota_.waitBegan(tenant, unpaid.facts.quotaCost);
-  ++unpaidCount_;
-  UnpaidRequests& waiting = unpaid_[tenant];
-  waiting.push_back(std::move(unpaid));
+  const base::Duration timeout = std::min(kMaxQuotaWait, pending.route->targetLatency);
+  pending.until = pending.arrivedAt + timeout;
+  quota_.waitBegan(tenant, pending.facts.quotaCost);
+  ++pendingCount_;
+  PendingRequests& waiting = pendingRequests_[tenant];
+  waiting.push_back(std::move(pending));
   const auto entry = std::prev(waiting.end());
   entry->sink->setGoneCallback([this, entry] {
     const std::string name = entry->facts.tenant;
     quota_.waitEnded(name, entry->facts.quotaCost);
-    --unpaidCount_;
-    UnpaidRequests& list = unpaid_[name];
+    --pendingCount_;
+    PendingRequests& list = pendingRequests_[name];
     list.erase(entry);
     if (list.empty()) {
-      unpaid_.erase(name);
+      pendingRequests_.erase(name);
     }
   });
-  quotaTimer_->enableAt(scheduler_.now() + kUnpaidReview);
-  askForQuotaSoon();
+  quotaTimer_->enableAt(scheduler_.now() + kPendingReviewInterval);
+  requestQuotaSoon();
 }
 
 /// Schedules one quota request for all requests that came within an event loop iteration.
-void Gateway::askForQuotaSoon() {
+void Gateway::requestQuotaSoon() {
   if (!std::exchange(quotaSoon_, true)) {
     scheduler_.runSoon([this] {
       quotaSoon_ = false;
-      askForQuota(false);
+      requestQuota(false);
     });
   }
 }
 
-void Gateway::askForQuota(bool all) {
+void Gateway::requestQuota(bool all) {
   if (!session_.following()) {
     return;
   }
   if (auto request = quota_.ask(all, scheduler_.now())) {
-    for (auto& [tenant, waiting] : unpaid_) {
-      for (UnpaidRequest& unpaid : waiting) {
-        unpaid.question = unpaid.question == 0 ? request->sequence : unpaid.question;
+    for (auto& [tenant, waiting] : pendingRequests_) {
+      for (PendingRequest& pending : waiting) {
+        pending.quotaSequence =
+            pending.quotaSequence == 0 ? request->sequence : pending.quotaSequence;
       }
     }
     session_.send(std::move(*request));
@@ -195,42 +196,42 @@
     return;
   }
   for (const registry::QuotaShare& share : grant.shares) {
-    settleUnpaid(share.owner, grant.sequence, share.retryAfter);
+    settlePending(share.owner, grant.sequence, share.retryAfter);
   }
-  if (unpaidCount_ > 0) {
-    askForQuotaSoon();
+  if (pendingCount_ > 0) {
+    requestQuotaSoon();
   }
   if (!quota_.empty()) {
     quotaTimer_->enableAt(scheduler_.now() +
-                          (unpaidCount_ > 0 ? kUnpaidReview : QuotaAccount::kInterval));
+                          (pendingCount_ > 0 ? kPendingReviewInterval : QuotaAccount::kInterval));
   }
 }
 
 /// Admits or refuses the waiting requests of a tenant in the order of their arrival. Requests that
 /// the answer did not cover wait for the next one.
-void Gateway::settleUnpaid(const std::string& tenant, std::uint64_t question,
-                           base::Duration retryAfter) {
-  const auto found = unpaid_.find(tenant);
-  if (found == unpaid_.end()) {
+void Gateway::settlePending(const std::string& tenant, std::uint64_t quotaSequence,
+                            base::Duration retryAfter) {
+  const auto found = pendingRequests_.find(tenant);
+  if (found == pendingRequests_.end()) {
     return;
   }
-  UnpaidRequests waiting = std::move(found->second);
-  unpaid_.erase(found);
-  UnpaidRequests rest;
+  PendingRequests waiting = std::move(found->second);
+  pendingRequests_.erase(found);
+  PendingRequests rest;
   while (!waiting.empty()) {
     const auto entry = waiting.begin();
     const double cost = entry->facts.quotaCost;
-    const bool asked = entry->question != 0 && entry->question <= question;
+    const bool asked = entry->quotaSequence != 0 && entry->quotaSequence <= quotaSequence;
     const bool paid = quota_.take(tenant, cost, scheduler_.now());
     if (!paid && (!asked || retryAfter == base::Duration::zero())) {
-      entry->question = asked ? 0 : entry->question;
+      entry->quotaSequence = asked ? 0 : entry->quotaSequence;
       rest.splice(rest.end(), waiting, entry);
       continue;
     }
     quota_.waitEnded(tenant, cost);
-    --unpaidCount_;
+    --pendingCount_;
     entry->sink->setGoneCallback(nullptr);
-    UnpaidRequest settled = std::move(*entry);
+    PendingRequest settled = std::move(*entry);
     waiting.erase(entry);
     if (paid) {
       const base::Duration waited = scheduler_.now() - settled.arrivedAt;
@@ -243,7 +244,7 @@
     }
   }
   if (!rest.empty()) {
-    unpaid_[tenant].splice(unpaid_[tenant].begin(), rest);
+    pendingRequests_[tenant].splice(pendingRequests_[tenant].begin(), rest);
   }
 }
 
@@ -251,28 +252,29 @@
 /// answer. The refusal is 503, not 429: the tenant is not known to exceed its quota.
 void Gateway::reviewQuota() {
   const base::TimePoint now = scheduler_.now();
-  std::vector<UnpaidRequest> late;
-  for (auto& [tenant, waiting] : unpaid_) {
+  std::vector<PendingRequest> late;
+  for (auto& [tenant, waiting] : pendingRequests_) {
     for (auto entry = waiting.begin(); entry != waiting.end();) {
       if (now < entry->until) {
         ++entry;
         continue;
       }
       quota_.waitEnded(tenant, entry->facts.quotaCost);
-      --unpaidCount_;
+      --pendingCount_;
       entry->sink->setGoneCallback(nullptr);
       late.push_back(std::move(*entry));
       entry = waiting.erase(entry);
     }
   }
-  std::erase_if(unpaid_, [](const auto& entry) { return entry.second.empty(); });
-  for (const UnpaidRequest& unpaid : late) {
-    refuse(*unpaid.sink, unpaid.facts.requestId, kUnavailable, "quota is not confirmed",
-           kRetryAfterUnconfirmed, unpaid.facts.tenant);
+  std::erase_if(pendingRequests_, [](const auto& entry) { return entry.second.empty(); });
+  for (const PendingRequest& pending : late) {
+    refuse(*pending.sink, pending.facts.requestId, kUnavailable, "quota is not confirmed",
+           kRetryAfterUnconfirmed, pending.facts.tenant);
   }
-  askForQuota(unpaidCount_ == 0);
+  requestQuota(pendingCount_ == 0);
   if (!quota_.empty()) {
-    quotaTimer_->enableAt(now + (unpaidCount_ > 0 ? kUnpaidReview : QuotaAccount::kInterval));
+    quotaTimer_->enableAt(now +
+                          (pendingCount_ > 0 ? kPendingReviewInterval : QuotaAccount::kInterval));
   }
 }
 
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -162,7 +162,7 @@
   if (!sharesLimits()) {
     return;
   }
-  if (auto request = limits_.ask(all, scheduler_.readClock())) {
+  if (auto request = limits_.makeRequest(all, scheduler_.readClock())) {
     session_.send(std::move(*request));
   }
 }
--- a/src/gateway/quota_account.cpp
+++ b/src/gateway/quota_account.cpp
@@ -9,19 +9,19 @@
 
 /// Seconds of mean spending that are held in advance: somewhat longer than a change of leader
 /// takes. Nothing is held in advance for a tenant whose requests come here less often than that.
-constexpr double kAheadSeconds = 1.5;
+constexpr double kReserveSeconds = 1.5;
 constexpr double kMeanWeight = 0.2;
 /// Time after a grant of less than needed during which the owner counts as short of quota.
-constexpr base::Duration kShortFor = std::chrono::seconds(2);
+constexpr base::Duration kShortageDuration = std::chrono::seconds(2);
 /// Time after which an unanswered request is replaced: a leader answers within a few ms, or has
 /// lost its lease and drops the request.
-constexpr base::Duration kAnswerPatience = std::chrono::milliseconds(250);
+constexpr base::Duration kAnswerTimeout = std::chrono::milliseconds(250);
 /// Time for which the leader's answer that quota is short is trusted, without asking again.
-constexpr base::Duration kShortTrust = std::chrono::milliseconds(100);
+constexpr base::Duration kShortageValidity = std::chrono::milliseconds(100);
 /// Time after the last demand for an owner during which one unit is held in advance.
-constexpr base::Duration kWantedFor = std::chrono::seconds(1);
+constexpr base::Duration kDemandDuration = std::chrono::seconds(1);
 /// Time without a request after which an owner is removed.
-constexpr base::Duration kForgottenAfter = std::chrono::seconds(10);
+constexpr base::Duration kAccountExpiry = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -45,7 +45,7 @@
   return true;
 }
 
-void QuotaAccount::giveBack(const std::string& owner, double cost, base::TimePoint now) {
+void QuotaAccount::refund(const std::string& owner, double cost, base::TimePoint now) {
   const auto found = accounts_.find(owner);
   if (found != accounts_.end() && now < found->second.until) {
     found->second.held += cost;
@@ -69,37 +69,37 @@
   return found != accounts_.end() && now < found->second.until && found->second.held >= cost;
 }
 
-void QuotaAccount::noteWanted(const std::string& owner, base::TimePoint now) {
+void QuotaAccount::recordDemand(const std::string& owner, base::TimePoint now) {
   accounts_[owner].usedAt = now;
 }
 
-std::optional<base::Duration> QuotaAccount::shortFor(const std::string& owner,
-                                                     base::TimePoint now) const {
+std::optional<base::Duration> QuotaAccount::shortageLeft(const std::string& owner,
+                                                         base::TimePoint now) const {
   const auto found = accounts_.find(owner);
   if (found == accounts_.end() || !found->second.wasShort ||
-      now >= found->second.shortAt + kShortTrust || now >= found->second.moreAt) {
+      now >= found->second.shortAt + kShortageValidity || now >= found->second.moreAvailableAt) {
     return std::nullopt;
   }
-  return found->second.moreAt - now;
+  return found->second.moreAvailableAt - now;
 }
 
 /// While the tenant's quota is exhausted nothing is held in advance: other gateways need it.
 bool QuotaAccount::isShort(const Account& account, base::TimePoint now) {
-  return account.wasShort && now < account.shortAt + kShortFor;
+  return account.wasShort && now < account.shortAt + kShortageDuration;
 }
 
 QuotaAccount::Reserve QuotaAccount::reserveOf(const Account& account, base::TimePoint now) const {
-  if (ahead_ == AheadOfNeed::oneUnit) {
-    const double wanted = now < account.usedAt + kWantedFor ? 1 : 0;
-    return {wanted, wanted};
+  if (reservePolicy_ == ReservePolicy::oneUnit) {
+    const double target = now < account.usedAt + kDemandDuration ? 1 : 0;
+    return {target, target};
   }
   if (isShort(account, now)) {
     return {};
   }
   const double spending = account.spending.perSecond(now);
-  const bool often = kAheadSeconds * spending >= account.meanCost;
-  const double wanted = often ? kAheadSeconds * spending : 0;
-  return {wanted, 2 * wanted + account.meanCost};
+  const bool often = kReserveSeconds * spending >= account.meanCost;
+  const double target = often ? kReserveSeconds * spending : 0;
+  return {target, 2 * target + account.meanCost};
 }
 
 registry::QuotaClaim QuotaAccount::claimOf(const std::string& owner, Account& account,
@@ -109,50 +109,50 @@
   const double needed = std::accumulate(account.needs.begin(), account.needs.end(), 0.0);
   registry::QuotaClaim claim;
   claim.owner = owner;
-  claim.returned = std::max(0.0, account.held - needed - reserve.most);
+  claim.returned = std::max(0.0, account.held - needed - reserve.maximum);
   account.held -= claim.returned;
   claim.held = account.held;
   claim.needed = std::max(0.0, needed - account.held);
   claim.first = account.needs.empty() ? 0 : std::max(0.0, account.needs.front() - account.held);
-  claim.ahead = std::max(0.0, reserve.wanted - std::max(0.0, account.held - needed));
+  claim.ahead = std::max(0.0, reserve.target - std::max(0.0, account.held - needed));
   return claim;
 }
 
 std::optional<registry::QuotaRequest> QuotaAccount::ask(bool all, base::TimePoint now) {
-  if (open_ && now < open_->askedAt + kAnswerPatience) {
+  if (openRequest_ && now < openRequest_->requestedAt + kAnswerTimeout) {
     return std::nullopt;
   }
-  open_.reset();
+  openRequest_.reset();
   std::erase_if(accounts_, [now](const auto& entry) {
-    return entry.second.needs.empty() && now >= entry.second.usedAt + kForgottenAfter;
+    return entry.second.needs.empty() && now >= entry.second.usedAt + kAccountExpiry;
   });
   registry::QuotaRequest request;
-  Question question;
+  OpenRequest sentRequest;
   for (auto& [owner, account] : accounts_) {
     const bool idle = account.held > 0 && isShort(account, now);
     if (all || !account.needs.empty() || idle) {
       request.claims.push_back(claimOf(owner, account, now));
-      question.owners.push_back(owner);
+      sentRequest.owners.push_back(owner);
     }
   }
   if (request.claims.empty()) {
     return std::nullopt;
   }
   request.sequence = ++lastSequence_;
-  question.sequence = request.sequence;
-  question.askedAt = now;
-  open_ = std::move(question);
+  sentRequest.sequence = request.sequence;
+  sentRequest.requestedAt = now;
+  openRequest_ = std::move(sentRequest);
   return request;
 }
 
 bool QuotaAccount::granted(const registry::QuotaGrant& grant, base::TimePoint now) {
-  if (!open_ || grant.sequence != open_->sequence) {
+  if (!openRequest_ || grant.sequence != openRequest_->sequence) {
     return false;
   }
-  for (const std::string& owner : open_->owners) {
+  for (const std::string& owner : openRequest_->owners) {
     const auto found = accounts_.find(owner);
     if (found != accounts_.end()) {
-      found->second.until = open_->askedAt + registry::kQuotaLease;
+      found->second.until = openRequest_->requestedAt + registry::kQuotaLease;
     }
   }
   for (const registry::QuotaShare& share : grant.shares) {
@@ -161,10 +161,10 @@
     if (share.retryAfter > base::Duration::zero()) {
       account.wasShort = true;
       account.shortAt = now;
-      account.moreAt = now + share.retryAfter;
+      account.moreAvailableAt = now + share.retryAfter;
     }
   }
-  open_.reset();
+  openRequest_.reset();
   return true;
 }
 
--- a/src/gateway/quota_account.h
+++ b/src/gateway/quota_account.h
@@ -14,7 +14,7 @@
 namespace walnut::gateway {
 
 /// How much is requested in advance, beyond the present need.
-enum class AheadOfNeed : std::uint8_t {
+enum class ReservePolicy : std::uint8_t {
   bySpending,  ///< The mean spending over a fixed time.
   oneUnit,     ///< One unit, for owners that were requested recently.
 };
@@ -26,7 +26,7 @@
 class QuotaAccount {
  public:
   QuotaAccount() = default;
-  explicit QuotaAccount(AheadOfNeed ahead) : ahead_(ahead) {}
+  explicit QuotaAccount(ReservePolicy policy) : reservePolicy_(policy) {}
 
   /// Interval of requests to the leader without need, which renew the held units before they
   /// expire.
@@ -36,14 +36,14 @@
   /// @return false if too few are held.
   bool take(const std::string& owner, double cost, base::TimePoint now);
   /// Returns the cost of a request that was not executed.
-  void giveBack(const std::string& owner, double cost, base::TimePoint now);
+  void refund(const std::string& owner, double cost, base::TimePoint now);
   /// @return true if `take` would succeed.
   bool covers(const std::string& owner, double cost, base::TimePoint now) const;
   /// Records demand for an owner: a request could be sent there.
-  void noteWanted(const std::string& owner, base::TimePoint now);
+  void recordDemand(const std::string& owner, base::TimePoint now);
   /// @return the time until more units are available, as the leader answered recently; nothing if a
   /// request to the leader makes sense.
-  std::optional<base::Duration> shortFor(const std::string& owner, base::TimePoint now) const;
+  std::optional<base::Duration> shortageLeft(const std::string& owner, base::TimePoint now) const;
   void forget(const std::string& owner) { accounts_.erase(owner); }
 
   /// @name Requests that wait for units from the leader
@@ -58,7 +58,7 @@
   /// @return true if the grant answers the open request.
   bool granted(const registry::QuotaGrant& grant, base::TimePoint now);
   /// Drops the open request, which will not be answered any more, so that the next leader is asked.
-  void leaderLost() { open_.reset(); }
+  void leaderLost() { openRequest_.reset(); }
   /// @return true if no owner has had a request recently.
   bool empty() const { return accounts_.empty(); }
 
@@ -69,14 +69,14 @@
     std::deque<double> needs;  ///< Costs of waiting requests, in order of arrival.
     base::TimePoint shortAt;   ///< When the leader last granted less than needed.
     bool wasShort = false;
-    base::TimePoint moreAt;           ///< When more is available, by the leader's last answer.
+    base::TimePoint moreAvailableAt;  ///< When more is available, by the leader's last answer.
     double meanCost = 0;              ///< Mean cost of a request.
     registry::DecayingRate spending;  ///< In units per second.
     base::TimePoint usedAt;
   };
-  struct Question {
+  struct OpenRequest {
     std::uint64_t sequence = 0;
-    base::TimePoint askedAt;
+    base::TimePoint requestedAt;
     std::vector<std::string> owners;
   };
 
@@ -84,18 +84,18 @@
   static void expire(Account& account, base::TimePoint now);
   /// Target and upper bound of the units held beyond the present need.
   struct Reserve {
-    double wanted = 0;
-    double most = 0;  ///< Units beyond this are returned to the leader.
+    double target = 0;
+    double maximum = 0;  ///< Units beyond this are returned to the leader.
   };
   Reserve reserveOf(const Account& account, base::TimePoint now) const;
   registry::QuotaClaim claimOf(const std::string& owner, Account& account,
                                base::TimePoint now) const;
 
-  AheadOfNeed ahead_ = AheadOfNeed::bySpending;
+  ReservePolicy reservePolicy_ = ReservePolicy::bySpending;
 
   std::map<std::string, Account> accounts_;
   std::uint64_t lastSequence_ = 0;
-  std::optional<Question> open_;
+  std::optional<OpenRequest> openRequest_;
 };
 
 }  // namespace walnut::gateway
--- a/src/gateway/worker_limits.cpp
+++ b/src/gateway/worker_limits.cpp
@@ -188,8 +188,8 @@
   if (!shared_) {
     return unsharedRate(found->second, now).allows(now) ? ShareState::open : ShareState::exhausted;
   }
-  shares_.noteWanted(worker.value, now);
-  return shares_.shortFor(worker.value, now) ? ShareState::exhausted : ShareState::requestable;
+  shares_.recordDemand(worker.value, now);
+  return shares_.shortageLeft(worker.value, now) ? ShareState::exhausted : ShareState::requestable;
 }
 
 base::Duration WorkerLimits::retryAfter(const registry::WorkerId& worker, base::TimePoint now) {
@@ -198,7 +198,7 @@
     return base::Duration::zero();
   }
   const base::Duration left =
-      shared_ ? shares_.shortFor(worker.value, now).value_or(base::Duration::zero())
+      shared_ ? shares_.shortageLeft(worker.value, now).value_or(base::Duration::zero())
               : unsharedRate(found->second, now).next() - now;
   const double spread = 1 + kRetrySpread * random_.unit();
   const base::Duration spreadOut = toDuration(std::chrono::duration<double>(left).count() * spread);
@@ -213,7 +213,7 @@
   unsharedRate(found->second, now).take(now);
 }
 
-std::optional<registry::ShareRequest> WorkerLimits::ask(bool all, base::TimePoint now) {
+std::optional<registry::ShareRequest> WorkerLimits::makeRequest(bool all, base::TimePoint now) {
   auto request = shares_.ask(all, now);
   return request ? std::optional(registry::ShareRequest{std::move(*request)}) : std::nullopt;
 }
--- a/src/gateway/worker_limits.h
+++ b/src/gateway/worker_limits.h
@@ -45,7 +45,7 @@
 /// an answer that announced the limit.
 class WorkerLimits {
  public:
-  explicit WorkerLimits(std::uint64_t seed) : random_(seed), shares_(AheadOfNeed::oneUnit) {}
+  explicit WorkerLimits(std::uint64_t seed) : random_(seed), shares_(ReservePolicy::oneUnit) {}
 
   /// A limit that began, changed or ended for this gateway.
   struct Change {
@@ -91,7 +91,7 @@
   void waitBegan(const registry::WorkerId& worker) { shares_.waitBegan(worker.value, 1); }
   void waitEnded(const registry::WorkerId& worker) { shares_.waitEnded(worker.value, 1); }
   /// @return the next share request to the leader; nothing if there is none.
-  std::optional<registry::ShareRequest> ask(bool all, base::TimePoint now);
+  std::optional<registry::ShareRequest> makeRequest(bool all, base::TimePoint now);
   /// @return true if the grant answers the open request.
   bool granted(const registry::ShareGrant& grant, base::TimePoint now);
   /// @}
