--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -34,7 +34,7 @@
 
 /// Returns the duration of a document lease. The lease counts from the time of its request, so that
 /// no part of it has to be reserved for message delays; a tenth is reserved for clock drift.
-base::Duration leaseOf(base::Duration revocation) {
+base::Duration leaseDuration(base::Duration revocation) {
   constexpr int kTenths = 9;
   return revocation * kTenths / 10;
 }
@@ -55,8 +55,8 @@
       session_(session),
       log_(log),
       metrics_(metrics),
-      lease_(leaseOf(options.revocation)),
-      leaseTimer_(scheduler.createTimer([this] { askForDocument(); })),
+      lease_(leaseDuration(options.revocation)),
+      leaseTimer_(scheduler.createTimer([this] { renewLease(); })),
       quotaTimer_(scheduler.createTimer([this] { reviewQuota(); })),
       limits_(options.selection.seed),
       shareTimer_(scheduler.createTimer([this] { reviewShares(); })),
@@ -128,7 +128,7 @@
   quietUntil_ = {};
   quota_.leaderLost();
   limits_.leaderFollowed();
-  askForDocument();
+  renewLease();
   requestQuota(true);
 }
 
@@ -191,8 +191,8 @@
   document_ = std::move(document);
   routes_ = std::make_unique<catalog::RouteTable>(document_);
   keys_ = std::make_unique<KeyTable>(document_);
-  if (!lease_.documentTaken(document_->version)) {
-    askForDocument();
+  if (!lease_.documentApplied(document_->version)) {
+    renewLease();
   }
   if (!early_.empty() && prepared()) {
     scheduler_.runSoon([this] { routeEarly(); });
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -69,7 +69,7 @@
   std::uint64_t keysInForce() const;
 
   /// @return true if the leader has announced a newer document than the one in force.
-  bool behind() const { return newestVersion_ > documentVersion(); }
+  bool isBehind() const { return newestVersion_ > documentVersion(); }
 
   /// @return true if requests can be admitted and the gateway is not shutting down.
   bool ready() const;
@@ -157,9 +157,9 @@
   /// @return true once requests can be routed and authenticated at all.
   bool prepared() const;
   const catalog::Tenant* authenticate(RequestFacts& facts, net::ResponseSink& sink);
-  void noteLease(base::TimePoint now);
+  void logLeaseChange(base::TimePoint now);
   void countTenant(const std::string& tenant, int status);
-  void askForDocument();
+  void renewLease();
   void requestQuota(bool all);
   void requestQuotaSoon();
   bool sharesLimits() const;
@@ -210,7 +210,7 @@
   std::unique_ptr<catalog::RouteTable> routes_;
   std::unique_ptr<KeyTable> keys_;
   DocumentLease lease_;
-  bool leaseNoted_ = false;  ///< Validity of the lease as last logged.
+  bool wasLeaseValid_ = false;  ///< Validity of the lease as last logged.
   event::TimerPtr leaseTimer_;
   QuotaAccount quota_;
   std::map<std::string, PendingRequests> pendingRequests_;  ///< By tenant; without empty lists.
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -19,10 +19,10 @@
 constexpr int kUnavailable = 503;
 
 /// Renewals requested per duration of a lease: the lease survives nine unanswered ones.
-constexpr int kQuestionsPerLease = 10;
+constexpr int kRenewalsPerLease = 10;
 /// Maximum age of the last confirmation at which an unknown key is refused for good: a key that was
 /// added since the confirmation would be refused too.
-constexpr base::Duration kRefusalAge = std::chrono::milliseconds(1500);
+constexpr base::Duration kMaxRefusalAge = std::chrono::milliseconds(1500);
 /// Retry-After value while keys or quotas are not confirmed: a change of leader takes about a
 /// second.
 constexpr base::Duration kRetryAfterUnconfirmed = std::chrono::milliseconds(500);
@@ -62,7 +62,7 @@
 /// event loop iteration began.
 const catalog::Tenant* Gateway::authenticate(RequestFacts& facts, net::ResponseSink& sink) {
   const base::TimePoint now = scheduler_.readClock();
-  noteLease(now);
+  logLeaseChange(now);
   if (!lease_.valid(now)) {
     refuse(sink, facts.requestId, kUnavailable, "keys are not confirmed", kRetryAfterUnconfirmed);
     return nullptr;
@@ -74,7 +74,7 @@
     facts.quotaCost = costOf(*tenant, facts);
     return tenant;
   }
-  if (behind() || lease_.age(now).value_or(lease_.lasts()) > kRefusalAge) {
+  if (isBehind() || lease_.age(now).value_or(lease_.duration()) > kMaxRefusalAge) {
     refuse(sink, facts.requestId, kUnavailable, "keys may be newer", kRetryAfterUnconfirmed);
   } else {
     refuse(sink, facts.requestId, kUnauthorized, facts.key.empty() ? "no key" : "unknown key");
@@ -98,15 +98,15 @@
                  hasLabel ? tenant : std::string("other"));
 }
 
-void Gateway::noteLease(base::TimePoint now) {
+void Gateway::logLeaseChange(base::TimePoint now) {
   const bool valid = lease_.valid(now);
-  if (std::exchange(leaseNoted_, valid) == valid) {
+  if (std::exchange(wasLeaseValid_, valid) == valid) {
     return;
   }
   log_.write(valid ? LogEvent::keysConfirmed : LogEvent::keysUnconfirmed,
              {{"document", documentVersion()},
               {"age-millis", millisOf(lease_.age(now).value_or(base::Duration::zero()))},
-              {"lease-millis", millisOf(lease_.lasts())}});
+              {"lease-millis", millisOf(lease_.duration())}});
 }
 
 std::uint64_t Gateway::keysInForce() const {
@@ -115,22 +115,22 @@
 
 /// Asks the leader for the newest document version, which renews the lease. Does nothing while the
 /// document in force has no keys.
-void Gateway::askForDocument() {
+void Gateway::renewLease() {
   if (document_ == nullptr || !document_->keyed) {
     return;
   }
   const base::TimePoint now = scheduler_.readClock();
-  noteLease(now);
-  leaseTimer_->enableAt(now + lease_.lasts() / kQuestionsPerLease);
+  logLeaseChange(now);
+  leaseTimer_->enableAt(now + lease_.duration() / kRenewalsPerLease);
   if (session_.following()) {
-    session_.send(lease_.ask(now));
+    session_.send(lease_.makeRequest(now));
   }
 }
 
 void Gateway::documentConfirmed(const registry::DocumentConfirmed& answer) {
   const bool first = !prepared();
   lease_.confirmed(answer, documentVersion());
-  noteLease(scheduler_.readClock());
+  logLeaseChange(scheduler_.readClock());
   if (first && prepared() && !early_.empty()) {
     scheduler_.runSoon([this] { routeEarly(); });
   }
--- a/src/gateway/registry_follower.cpp
+++ b/src/gateway/registry_follower.cpp
@@ -121,7 +121,7 @@
 }
 
 void RegistryFollower::askAgainIfStuck() {
-  if (!gateway_.behind()) {
+  if (!gateway_.isBehind()) {
     documentMovedAt_.reset();
     return;
   }
--- a/test/gateway/registry_follower_test.cpp
+++ b/test/gateway/registry_follower_test.cpp
@@ -178,7 +178,7 @@
   CHECK_FALSE(session.following());
   receive(connection, registry::PackedView{packed});
   CHECK_TRUE(session.following());
-  CHECK_TRUE(gateway.behind());
+  CHECK_TRUE(gateway.isBehind());
 }
 
 /// Names of a view refer to those before it: after one that can't be read none is believed.
