--- a/src/gateway/registry_follower.cpp
+++ b/src/gateway/registry_follower.cpp
@@ -11,7 +11,7 @@
 
 /// Time within which a gateway that knows of a newer document gets a part of it: a leader sends a
 /// part to each of 400 gateways in half a second (DocumentSender).
-constexpr base::Duration kDocumentPatience = std::chrono::milliseconds(1500);
+constexpr base::Duration kDocumentTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 /// that would corrupt the decoder's table of names.
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::PackedView& packed) {
-  if (!session_.asks(connection)) {
+  if (!session_.isCurrent(connection)) {
     return false;
   }
   const auto view = viewDecoder_.decode(packed.bytes);
@@ -44,21 +44,21 @@
     return false;
   }
   if (view.complete) {
-    gateway_.leaderFollowed(suspectsFrom_ == connection);
-    suspectsFrom_.reset();
+    gateway_.leaderFollowed(suspectsConnection_ == connection);
+    suspectsConnection_.reset();
   }
   gateway_.viewReceived(view);
-  askAgainIfStuck();
+  resubscribeIfStalled();
   return true;
 }
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::SuspectList& list) {
-  if (!session_.asks(connection)) {
+  if (!session_.isCurrent(connection)) {
     return false;
   }
   if (!session_.following()) {
-    suspectsFrom_ = connection;
+    suspectsConnection_ = connection;
   }
   gateway_.suspectsReceived(list);
   return true;
@@ -72,7 +72,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::DocumentConfirmed& answer) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.documentConfirmed(answer);
   }
   return false;
@@ -80,7 +80,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::QuotaGrant& grant) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.quotaGranted(grant);
   }
   return false;
@@ -88,7 +88,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::ShareGrant& grant) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.sharesGranted(grant);
   }
   return false;
@@ -96,7 +96,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::LateModels& late) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.lateModelsReceived(late);
   }
   return false;
@@ -107,7 +107,7 @@
   if (!session_.partReceived(connection)) {
     return false;
   }
-  documentMovedAt_ = scheduler_.now();
+  documentProgressAt_ = scheduler_.now();
   auto document = receiver_.take(part, gateway_.document().get());
   if (document.has_error()) {
     refuseDocument(part, document.error());
@@ -120,21 +120,21 @@
   return taken;
 }
 
-void RegistryFollower::askAgainIfStuck() {
+void RegistryFollower::resubscribeIfStalled() {
   if (!gateway_.isBehind()) {
-    documentMovedAt_.reset();
+    documentProgressAt_.reset();
     return;
   }
-  if (!documentMovedAt_) {
-    documentMovedAt_ = scheduler_.now();
+  if (!documentProgressAt_) {
+    documentProgressAt_ = scheduler_.now();
   }
-  if (scheduler_.now() < *documentMovedAt_ + kDocumentPatience) {
+  if (scheduler_.now() < *documentProgressAt_ + kDocumentTimeout) {
     return;
   }
   log_.write(LogEvent::documentStuck, {{"held", gateway_.documentVersion()},
                                        {"partial", receiver_.cursor().version},
                                        {"bytes", receiver_.cursor().received}});
-  documentMovedAt_.reset();
+  documentProgressAt_.reset();
   session_.subscribeAgain();
 }
 
--- a/src/gateway/registry_follower.h
+++ b/src/gateway/registry_follower.h
@@ -40,7 +40,7 @@
   }
   void refuseDocument(const registry::DocumentPart& part, const base::Error& error);
 
-  void askAgainIfStuck();
+  void resubscribeIfStalled();
 
   const event::Scheduler& scheduler_;
   RegistrySession& session_;
@@ -49,9 +49,9 @@
   DocumentReceiver receiver_;
   registry::ViewDecoder viewDecoder_;
   /// When a newer document was announced, or a part of it last came.
-  std::optional<base::TimePoint> documentMovedAt_;
+  std::optional<base::TimePoint> documentProgressAt_;
   /// Connection that has sent a list of suspects, but no view yet.
-  std::optional<protocol::ConnectionId> suspectsFrom_;
+  std::optional<protocol::ConnectionId> suspectsConnection_;
 };
 
 }  // namespace walnut::gateway
--- a/src/gateway/registry_session.cpp
+++ b/src/gateway/registry_session.cpp
@@ -27,39 +27,40 @@
 
 void RegistrySession::start() {
   lostAt_ = scheduler_.now();
-  tryNext();
+  connectNext();
 }
 
-void RegistrySession::enter(State state, base::Duration patience) {
+void RegistrySession::enter(State state, base::Duration timeout) {
   state_ = state;
-  timer_->enableAt(scheduler_.now() + patience);
+  timer_->enableAt(scheduler_.now() + timeout);
 }
 
 void RegistrySession::search() {
-  untried_ = options_.servers;
-  untried_.insert(untried_.end(), learned_.begin(), learned_.end());
-  std::sort(untried_.begin(), untried_.end());
-  untried_.erase(std::unique(untried_.begin(), untried_.end()), untried_.end());
-  for (std::size_t rest = untried_.size(); rest > 1; --rest) {
-    std::swap(untried_[rest - 1], untried_[random_.uniform(0, rest - 1)]);
+  untriedServers_ = options_.servers;
+  untriedServers_.insert(untriedServers_.end(), learnedServers_.begin(), learnedServers_.end());
+  std::sort(untriedServers_.begin(), untriedServers_.end());
+  untriedServers_.erase(std::unique(untriedServers_.begin(), untriedServers_.end()),
+                        untriedServers_.end());
+  for (std::size_t rest = untriedServers_.size(); rest > 1; --rest) {
+    std::swap(untriedServers_[rest - 1], untriedServers_[random_.uniform(0, rest - 1)]);
   }
 }
 
-void RegistrySession::tryNext() {
-  asksHinted_ = hint_.has_value();
+void RegistrySession::connectNext() {
+  isHinted_ = hint_.has_value();
   if (hint_) {
     server_ = *std::exchange(hint_, std::nullopt);
   } else {
-    if (untried_.empty()) {
-      ++fruitlessRounds_;
+    if (untriedServers_.empty()) {
+      ++failedRounds_;
       search();
     }
-    if (untried_.empty()) {
+    if (untriedServers_.empty()) {
       enter(State::searching, options_.retryPause);
       return;
     }
-    server_ = untried_.back();
-    untried_.pop_back();
+    server_ = untriedServers_.back();
+    untriedServers_.pop_back();
   }
   enter(State::connecting, options_.connectTimeout);
   link_.open(server_);
@@ -67,17 +68,17 @@
 
 /// Returns the next backoff with random jitter, so that gateways that lost the leader together
 /// don't reconnect together.
-base::Duration RegistrySession::drawPause() {
+base::Duration RegistrySession::nextBackoff() {
   const std::uint32_t doublings =
-      std::min(fruitlessRounds_ > 0 ? fruitlessRounds_ - 1 : 0, kMaxDoublings);
+      std::min(failedRounds_ > 0 ? failedRounds_ - 1 : 0, kMaxDoublings);
   const base::Duration longest =
       std::min(options_.retryPauseMax, options_.retryPause * (1U << doublings));
   return random_.between(longest / 2, longest);
 }
 
-void RegistrySession::leaveServer() {
+void RegistrySession::disconnect() {
   if (state_ == State::following) {
-    lost_ = true;
+    isLeaderLost_ = true;
     lostAt_ = scheduler_.now();
     log_.write(LogEvent::dependencyLost,
                {{"dependency", "registry"}, {"server", runtime::formatEndpoint(server_)}});
@@ -88,15 +89,15 @@
   // A leader named by another server is contacted at once, without backoff, unless that server was
   // itself contacted because another one had named it: during an election two servers may name each
   // other as the leader.
-  const bool atOnce = hint_ && !asksHinted_;
-  enter(State::searching, atOnce ? base::Duration::zero() : drawPause());
+  const bool atOnce = hint_ && !isHinted_;
+  enter(State::searching, atOnce ? base::Duration::zero() : nextBackoff());
 }
 
 void RegistrySession::onTimer() {
   if (state_ == State::searching) {
-    tryNext();
+    connectNext();
   } else {
-    leaveServer();
+    disconnect();
   }
 }
 
@@ -108,39 +109,39 @@
   }
   connection_ = connection;
   featureLevel_ = featureLevel;
-  enter(State::asking, options_.silenceLimit);
+  enter(State::subscribing, options_.leaderTimeout);
   link_.send(connection, subscription_);
 }
 
 void RegistrySession::openFailed(const base::Endpoint& server) {
   if (state_ == State::connecting && server == server_) {
-    leaveServer();
+    disconnect();
   }
 }
 
 void RegistrySession::closed(protocol::ConnectionId connection) {
   if (connection_ == connection) {
     connection_.reset();
-    leaveServer();
+    disconnect();
   }
 }
 
-void RegistrySession::learn(const std::vector<base::Endpoint>& servers) {
+void RegistrySession::learnServers(const std::vector<base::Endpoint>& servers) {
   if (!servers.empty()) {
-    learned_ = servers;
+    learnedServers_ = servers;
   }
 }
 
 void RegistrySession::notLeading(protocol::ConnectionId connection,
                                  const registry::NotLeading& message) {
-  learn(message.servers);
+  learnServers(message.servers);
   if (connection_ != connection) {
     return;
   }
   if (message.leader && *message.leader != server_) {
     hint_ = message.leader;
   }
-  leaveServer();
+  disconnect();
 }
 
 bool RegistrySession::viewReceived(protocol::ConnectionId connection,
@@ -148,8 +149,8 @@
   if (connection_ != connection) {
     return false;
   }
-  learn(update.servers);
-  if (std::exchange(lost_, false)) {
+  learnServers(update.servers);
+  if (std::exchange(isLeaderLost_, false)) {
     const auto gap =
         std::chrono::duration_cast<std::chrono::milliseconds>(scheduler_.now() - lostAt_);
     log_.write(LogEvent::dependencyRegained, {{"dependency", "registry"},
@@ -157,8 +158,8 @@
                                               {"term", update.term},
                                               {"millis", static_cast<std::uint64_t>(gap.count())}});
   }
-  fruitlessRounds_ = 0;
-  enter(State::following, options_.silenceLimit);
+  failedRounds_ = 0;
+  enter(State::following, options_.leaderTimeout);
   return true;
 }
 
@@ -166,13 +167,13 @@
   if (connection_ != connection || state_ != State::following) {
     return false;
   }
-  enter(State::following, options_.silenceLimit);
+  enter(State::following, options_.leaderTimeout);
   return true;
 }
 
 void RegistrySession::subscribeAgain() {
   if (connection_) {
-    leaveServer();
+    disconnect();
   }
 }
 
--- a/src/gateway/registry_session.h
+++ b/src/gateway/registry_session.h
@@ -21,7 +21,7 @@
   base::Duration connectTimeout = std::chrono::milliseconds(400);
   /// Time without a message after which the server is considered lost: the leader sends one each
   /// quarter of a second.
-  base::Duration silenceLimit = std::chrono::milliseconds(900);
+  base::Duration leaderTimeout = std::chrono::milliseconds(900);
   base::Duration retryPause = std::chrono::milliseconds(60);
   /// Upper bound of the backoff, which doubles with each round over all servers that found no
   /// leader. It is below the minimum duration of an election, so that the end of one is noticed
@@ -44,7 +44,7 @@
 /// searching. One server is contacted at a time; a server that is not the leader names the leader.
 class RegistrySession {
  public:
-  enum class State : std::uint8_t { searching, connecting, asking, following };
+  enum class State : std::uint8_t { searching, connecting, subscribing, following };
 
   RegistrySession(const RegistrySessionOptions& options, event::Scheduler& scheduler,
                   RegistryLink& link, runtime::EventLog& log, std::uint64_t seed);
@@ -65,7 +65,7 @@
   /// @return false if the update is not from the server that is followed.
   bool viewReceived(protocol::ConnectionId connection, const registry::ViewUpdate& update);
   /// @return true if the connection is to the server that is asked or followed.
-  bool asks(protocol::ConnectionId connection) const { return connection_ == connection; }
+  bool isCurrent(protocol::ConnectionId connection) const { return connection_ == connection; }
   /// Counts bytes of a document as a sign of life of the leader, like a view.
   /// @return false if they are not from the server that is followed.
   bool partReceived(protocol::ConnectionId connection);
@@ -83,12 +83,12 @@
 
  private:
   void search();
-  void tryNext();
-  void leaveServer();
+  void connectNext();
+  void disconnect();
   void onTimer();
-  void enter(State state, base::Duration patience);
-  base::Duration drawPause();
-  void learn(const std::vector<base::Endpoint>& servers);
+  void enter(State state, base::Duration timeout);
+  base::Duration nextBackoff();
+  void learnServers(const std::vector<base::Endpoint>& servers);
 
   RegistrySessionOptions options_;
   event::Scheduler& scheduler_;
@@ -97,17 +97,17 @@
   base::Random random_;
   event::TimerPtr timer_;
   State state_ = State::searching;
-  std::vector<base::Endpoint> learned_;
-  std::vector<base::Endpoint> untried_;  ///< In the present search, in random order.
-  std::optional<base::Endpoint> hint_;   ///< The leader, as named by another server.
+  std::vector<base::Endpoint> learnedServers_;
+  std::vector<base::Endpoint> untriedServers_;  ///< In the present search, in random order.
+  std::optional<base::Endpoint> hint_;          ///< The leader, as named by another server.
   base::Endpoint server_;
-  bool asksHinted_ = false;  ///< `server_` was named as the leader by another server.
+  bool isHinted_ = false;  ///< `server_` was named as the leader by another server.
   std::optional<protocol::ConnectionId> connection_;
   std::uint32_t featureLevel_ = 0;  ///< Of the connected server.
   registry::Subscribe subscription_;
-  std::uint32_t fruitlessRounds_ = 0;  ///< Search rounds since a leader was last followed.
+  std::uint32_t failedRounds_ = 0;  ///< Search rounds since a leader was last followed.
   base::TimePoint lostAt_;
-  bool lost_ = true;
+  bool isLeaderLost_ = true;
 };
 
 }  // namespace walnut::gateway
