--- a/src/gateway/demand_tracker.cpp
+++ b/src/gateway/demand_tracker.cpp
@@ -5,31 +5,31 @@
 
 namespace walnut::gateway {
 
-void DemandTracker::Figures::note(const Urgency& urgency) {
+void DemandTracker::Counters::note(const Urgency& urgency) {
   priority = std::min(priority, urgency.priority);
   targetLatency = std::min(targetLatency, urgency.targetLatency);
 }
 
 void DemandTracker::arrived(const std::string& service, const std::string& model,
                             const std::string& adapter, const Urgency& urgency) {
-  Figures& figures = figures_[{service, model, adapter}];
-  ++figures.arrivals;
-  figures.note(urgency);
+  Counters& counters = counters_[{service, model, adapter}];
+  ++counters.arrivals;
+  counters.note(urgency);
 }
 
 void DemandTracker::waitBegan(const std::string& service, const std::string& model,
                               const std::string& adapter, const Urgency& urgency) {
-  Figures& figures = figures_[{service, model, adapter}];
-  ++figures.waiting;
-  figures.note(urgency);
-  urgent_ = true;
+  Counters& counters = counters_[{service, model, adapter}];
+  ++counters.waiting;
+  counters.note(urgency);
+  isUrgent_ = true;
 }
 
 void DemandTracker::waitEnded(const std::string& service, const std::string& model,
                               const std::string& adapter) {
-  Figures& figures = figures_[{service, model, adapter}];
-  if (figures.waiting > 0) {
-    --figures.waiting;
+  Counters& counters = counters_[{service, model, adapter}];
+  if (counters.waiting > 0) {
+    --counters.waiting;
   }
 }
 
@@ -50,31 +50,31 @@
       break;
   }
   if (!model.empty()) {
-    Figures& figures = figures_[{service, model, adapter}];
-    ++(outcome == AttemptOutcome::answered ? figures.answered : figures.failed);
+    Counters& counters = counters_[{service, model, adapter}];
+    ++(outcome == AttemptOutcome::answered ? counters.answered : counters.failed);
   }
 }
 
 void DemandTracker::dropOutcomes() {
   outcomes_.clear();
-  for (auto& [key, figures] : figures_) {
-    figures.answered = 0;
-    figures.failed = 0;
+  for (auto& [key, counters] : counters_) {
+    counters.answered = 0;
+    counters.failed = 0;
   }
 }
 
 registry::DemandUpdate DemandTracker::takeUpdate(const WorkerDirectory& directory) {
   registry::DemandUpdate update;
-  for (auto& [key, figures] : figures_) {
+  for (auto& [key, counters] : counters_) {
     const auto& [service, model, adapter] = key;
-    update.demands.push_back({service, model, adapter, figures.waiting, figures.arrivals,
-                              figures.priority, figures.targetLatency, figures.answered,
-                              figures.failed});
-    figures.arrivals = 0;
-    figures.answered = 0;
-    figures.failed = 0;
+    update.demands.push_back({service, model, adapter, counters.waiting, counters.arrivals,
+                              counters.priority, counters.targetLatency, counters.answered,
+                              counters.failed});
+    counters.arrivals = 0;
+    counters.answered = 0;
+    counters.failed = 0;
   }
-  std::erase_if(figures_, [](const auto& entry) { return entry.second.waiting == 0; });
+  std::erase_if(counters_, [](const auto& entry) { return entry.second.waiting == 0; });
   for (const auto& [id, worker] : directory.workers()) {
     for (const auto& [model, running] : worker->runningByModel) {
       update.loads.push_back({id, model, running});
@@ -86,7 +86,7 @@
   for (auto& [id, outcomes] : std::exchange(outcomes_, {})) {
     update.outcomes.push_back(std::move(outcomes));
   }
-  urgent_ = false;
+  isUrgent_ = false;
   return update;
 }
 
--- a/src/gateway/demand_tracker.h
+++ b/src/gateway/demand_tracker.h
@@ -43,12 +43,12 @@
   void dropOutcomes();
 
   /// @return true if a request has begun to wait since the last update.
-  bool urgent() const { return urgent_; }
+  bool isUrgent() const { return isUrgent_; }
   /// @return the present state, with the arrivals and outcomes since the last call.
   registry::DemandUpdate takeUpdate(const WorkerDirectory& directory);
 
  private:
-  struct Figures {
+  struct Counters {
     std::uint32_t waiting = 0;
     std::uint32_t arrivals = 0;
     std::uint32_t answered = 0;
@@ -60,9 +60,9 @@
   };
   using Key = std::tuple<std::string, std::string, std::string>;
 
-  std::map<Key, Figures> figures_;
+  std::map<Key, Counters> counters_;
   std::map<registry::WorkerId, registry::WorkerOutcomes> outcomes_;  ///< Since the last update.
-  bool urgent_ = false;
+  bool isUrgent_ = false;
 };
 
 }  // namespace walnut::gateway
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -228,7 +228,7 @@
                                                   {"route", route_.name},
                                                   {"document", document_->version},
                                                   {"worker", worker->view.record.id.value},
-                                                  {"running", worker->runningTogether()},
+                                                  {"running", worker->totalRunning()},
                                                   {"earlier", deliveredAttempts_}});
   if (isStreaming()) {
     armStallTimer(std::max(kStallFloor, route_.targetLatency));
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -122,10 +122,10 @@
   stallTimer_->disable();
   if (answer_.notExecuted) {
     if (worker_->full()) {
-      worker_->saidFull();
+      worker_->markFull();
     } else if (!facts_.model.empty()) {
       // The worker does not hold the model, or is about to unload it.
-      worker_->missed(
+      worker_->markMissing(
           facts_.model, facts_.adapter,
           now() + (facts_.adapter.empty() ? kMissingModelPeriod : kMissingAdapterPeriod));
     }
@@ -204,7 +204,7 @@
        {"digest", digest().text()},
        {"worker", worker_->view.record.id.value},
        {"begun", std::string_view(isHeadReceived_ ? "yes" : "no")},
-       {"running", std::uint64_t{worker_->runningTogether()}},
+       {"running", std::uint64_t{worker_->totalRunning()}},
        {"age-millis",
         static_cast<std::uint64_t>(
             std::chrono::duration_cast<std::chrono::milliseconds>(now() - attemptAt_).count())}});
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -83,7 +83,7 @@
   void giveUpAll();
   std::size_t exchangeCount() const { return exchanges_.size(); }
   /// @return workers that were removed since the last call.
-  std::vector<registry::WorkerId> takeGoneWorkers() { return directory_.takeGone(); }
+  std::vector<registry::WorkerId> takeGoneWorkers() { return directory_.takeRemoved(); }
 
   // net::RequestHandler
   void onRequest(net::HttpRequest request, net::ResponseSink& sink) override;
--- a/src/gateway/worker_directory.cpp
+++ b/src/gateway/worker_directory.cpp
@@ -9,21 +9,21 @@
 namespace {
 
 constexpr double kSampleWeight = 0.2;
-constexpr double kFadeSeconds = 4.0;
+constexpr double kDecaySeconds = 4.0;
 /// Minimum number of requests at a worker whose queue is full, as a multiple of its slots: in all
 /// known deployments the queue has at least as many places as there are slots.
 constexpr std::uint32_t kFullQueueFactor = 2;
 
 }  // namespace
 
-void FailureShare::observe(bool failed, base::TimePoint now) {
-  share_ = value(now) * (1 - kSampleWeight) + (failed ? kSampleWeight : 0);
+void FailureRatio::observe(bool failed, base::TimePoint now) {
+  ratio_ = value(now) * (1 - kSampleWeight) + (failed ? kSampleWeight : 0);
   updatedAt_ = now;
 }
 
-double FailureShare::value(base::TimePoint now) const {
+double FailureRatio::value(base::TimePoint now) const {
   const double age = std::chrono::duration<double>(now - updatedAt_).count();
-  return share_ * std::exp(-age / kFadeSeconds);
+  return ratio_ * std::exp(-age / kDecaySeconds);
 }
 
 bool Worker::holds(const std::string& model, const std::string& adapter,
@@ -31,8 +31,8 @@
   if (model.empty()) {
     return true;
   }
-  const auto missed = missedUntil_.find({model, adapter});
-  if (missed != missedUntil_.end() && now < missed->second) {
+  const auto missing = missingUntil_.find({model, adapter});
+  if (missing != missingUntil_.end() && now < missing->second) {
     return false;
   }
   for (const registry::HeldModel& held : view.models) {
@@ -57,57 +57,58 @@
   }
 }
 
-void Worker::saidFull() {
-  const std::uint32_t least = kFullQueueFactor * view.record.slots;
-  runningElsewhere = std::max(runningElsewhere, least > running ? least - running : 0);
+void Worker::markFull() {
+  const std::uint32_t minimum = kFullQueueFactor * view.record.slots;
+  runningElsewhere = std::max(runningElsewhere, minimum > running ? minimum - running : 0);
 }
 
-void Worker::missed(const std::string& model, const std::string& adapter, base::TimePoint until) {
-  missedUntil_[{model, adapter}] = until;
+void Worker::markMissing(const std::string& model, const std::string& adapter,
+                         base::TimePoint until) {
+  missingUntil_[{model, adapter}] = until;
 }
 
 void WorkerDirectory::apply(const registry::ViewUpdate& update) {
-  std::set<registry::WorkerId> named;
+  std::set<registry::WorkerId> listed;
   for (const registry::WorkerView& view : update.changed) {
-    takeView(view);
-    named.insert(view.record.id);
+    applyView(view);
+    listed.insert(view.record.id);
   }
   for (const registry::WorkerId& id : update.removed) {
     remove(id);
   }
   if (update.complete) {
-    std::vector<registry::WorkerId> unnamed;
+    std::vector<registry::WorkerId> unlisted;
     for (const auto& [id, worker] : workers_) {
-      if (named.count(id) == 0) {
-        unnamed.push_back(id);
+      if (listed.count(id) == 0) {
+        unlisted.push_back(id);
       }
     }
-    for (const registry::WorkerId& id : unnamed) {
+    for (const registry::WorkerId& id : unlisted) {
       remove(id);
     }
   }
-  takeLoads(update);
+  applyLoads(update);
 }
 
-void WorkerDirectory::takeLoads(const registry::ViewUpdate& update) {
+void WorkerDirectory::applyLoads(const registry::ViewUpdate& update) {
   if (update.complete) {
     for (const auto& [id, worker] : workers_) {
-      worker->runningInAll = 0;
+      worker->runningAtAllGateways = 0;
     }
   }
   for (const registry::WorkerLoad& load : update.loads) {
     const auto found = workers_.find(load.worker);
     if (found != workers_.end()) {
-      found->second->runningInAll = load.running;
+      found->second->runningAtAllGateways = load.running;
     }
   }
   for (const auto& [id, worker] : workers_) {
-    const std::uint32_t all = worker->runningInAll;
+    const std::uint32_t all = worker->runningAtAllGateways;
     worker->runningElsewhere = all > worker->running ? all - worker->running : 0;
   }
 }
 
-void WorkerDirectory::takeView(const registry::WorkerView& view) {
+void WorkerDirectory::applyView(const registry::WorkerView& view) {
   const auto found = workers_.find(view.record.id);
   if (found == workers_.end()) {
     workers_.emplace(view.record.id, std::make_shared<Worker>(view));
@@ -129,7 +130,7 @@
     return;
   }
   found->second->view.record.leaving = true;
-  gone_.push_back(id);
+  removed_.push_back(id);
   workers_.erase(found);
 }
 
--- a/src/gateway/worker_directory.h
+++ b/src/gateway/worker_directory.h
@@ -17,13 +17,13 @@
 
 /// Fraction of failures among recent attempts. Decays with time, so that a worker that is no longer
 /// selected gets requests again.
-class FailureShare {
+class FailureRatio {
  public:
   void observe(bool failed, base::TimePoint now);
   double value(base::TimePoint now) const;
 
  private:
-  double share_ = 0;
+  double ratio_ = 0;
   base::TimePoint updatedAt_;
 };
 
@@ -36,11 +36,11 @@
   registry::WorkerView view;
   std::uint32_t running = 0;                            ///< In-flight requests of this gateway.
   std::map<std::string, std::uint32_t> runningByModel;  ///< The same by model; without zeros.
-  std::uint32_t runningInAll = 0;                       ///< Those of all gateways, as reported.
+  std::uint32_t runningAtAllGateways = 0;               ///< Those of all gateways, as reported.
   std::uint32_t runningElsewhere = 0;                   ///< Those of other gateways.
   routing::CircuitBreaker breaker;
   routing::MovingAverage latency;  ///< To the response head, or to a stream's first event.
-  FailureShare failures;
+  FailureRatio failures;
 
   /// @return true if the worker is known to hold the model and adapter; always true for a plain
   /// service (no model).
@@ -52,19 +52,19 @@
   /// @}
 
   /// @return the number of requests of all gateways at the worker, as far as known.
-  std::uint32_t runningTogether() const { return running + runningElsewhere; }
+  std::uint32_t totalRunning() const { return running + runningElsewhere; }
   /// @return true if all slots are taken, as far as known; false for a worker without a known
   /// number of slots.
-  bool full() const { return view.record.slots > 0 && runningTogether() >= view.record.slots; }
+  bool full() const { return view.record.slots > 0 && totalRunning() >= view.record.slots; }
   /// Records the worker's answer that its queue is full as well. It counts until the next view.
-  void saidFull();
+  void markFull();
 
   /// Records the worker's answer that it does not hold the model or adapter. No such request is
   /// sent there until the given time.
-  void missed(const std::string& model, const std::string& adapter, base::TimePoint until);
+  void markMissing(const std::string& model, const std::string& adapter, base::TimePoint until);
 
  private:
-  std::map<std::pair<std::string, std::string>, base::TimePoint> missedUntil_;
+  std::map<std::pair<std::string, std::string>, base::TimePoint> missingUntil_;
 };
 
 /// The workers by id. An entry stays valid while it is referenced, also after the worker was
@@ -79,15 +79,15 @@
   /// @return workers that may get new requests for a service.
   std::vector<WorkerPtr> candidates(const std::string& service) const;
   /// @return ids of workers that were removed since the last call.
-  std::vector<registry::WorkerId> takeGone() { return std::exchange(gone_, {}); }
+  std::vector<registry::WorkerId> takeRemoved() { return std::exchange(removed_, {}); }
 
  private:
-  void takeLoads(const registry::ViewUpdate& update);
-  void takeView(const registry::WorkerView& view);
+  void applyLoads(const registry::ViewUpdate& update);
+  void applyView(const registry::WorkerView& view);
   void remove(const registry::WorkerId& id);
 
   std::map<registry::WorkerId, WorkerPtr> workers_;
-  std::vector<registry::WorkerId> gone_;
+  std::vector<registry::WorkerId> removed_;
 };
 
 }  // namespace walnut::gateway
--- a/src/gateway/worker_selector.cpp
+++ b/src/gateway/worker_selector.cpp
@@ -17,12 +17,12 @@
 constexpr double kKnownPromptFactor = 0.85;
 constexpr double kNewConnectionFactor = 1.2;
 constexpr double kFailureFactor = 6.0;
-constexpr double kSilentFactor = 20.0;
+constexpr double kUnresponsiveFactor = 20.0;
 constexpr double kDefaultLatency = 0.05;  ///< In seconds, until a latency is observed.
 constexpr double kDefaultSlots = 8.0;
 /// Weight of the typical latency in the cost of a worker: a worker's own latency counts less than
 /// proportionally, because it also depends on the requests.
-constexpr double kLatencyFloor = 0.3;
+constexpr double kTypicalLatencyWeight = 0.3;
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -159,17 +159,17 @@
     return base::Duration::zero();
   }
   const std::uint32_t slots = worker.view.record.slots;
-  const std::uint32_t before = worker.runningTogether() - slots + 1;
+  const std::uint32_t before = worker.totalRunning() - slots + 1;
   return *slotTime->second.value() * before / slots;
 }
 
 double WorkerSelector::cost(const Worker& worker, double typicalLatency,
                             const registry::WorkerId* preferred, base::TimePoint now) {
   const double own = worker.latency.value() ? seconds(*worker.latency.value()) : typicalLatency;
-  double cost = kLatencyFloor * typicalLatency + (1 - kLatencyFloor) * own;
+  double cost = kTypicalLatencyWeight * typicalLatency + (1 - kTypicalLatencyWeight) * own;
   const double slots =
       worker.view.record.slots == 0 ? kDefaultSlots : static_cast<double>(worker.view.record.slots);
-  const double running = worker.runningTogether();
+  const double running = worker.totalRunning();
   cost *= 1 + (kFullFactor - 1) * running / slots;
   cost *= 1 + kFailureFactor * worker.failures.value(now);
   if (worker.view.record.zone != options_.zone) {
@@ -182,7 +182,7 @@
     cost *= kKnownPromptFactor;
   }
   cost *= 1 + options_.spread * random_.unit();
-  return worker.view.silent ? cost * kSilentFactor : cost;
+  return worker.view.silent ? cost * kUnresponsiveFactor : cost;
 }
 
 }  // namespace walnut::gateway
