--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -17,20 +17,20 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 /// Fraction of the retry budget that is used, because the number of gateways is known with a delay.
-constexpr double kBudgetShare = 0.7;
+constexpr double kBudgetFraction = 0.7;
 /// @name Minimum time between reports of whether a model is in use: a leader processes a few
 /// hundred reports a second from all gateways together
 /// @{
-constexpr base::Duration kUseSpacing = std::chrono::milliseconds(50);
-constexpr base::Duration kUseSpacingPerGateway = std::chrono::milliseconds(4);
+constexpr base::Duration kUseReportSpacing = std::chrono::milliseconds(50);
+constexpr base::Duration kUseReportSpacingPerGateway = std::chrono::milliseconds(4);
 /// @}
 /// Time between two empty reports: well below the time after which a server considers an idle
 /// connection lost.
-constexpr base::Duration kQuietInterval = std::chrono::seconds(3);
+constexpr base::Duration kEmptyReportInterval = std::chrono::seconds(3);
 /// Time that early requests wait for the first document after a start: little more than an election
 /// takes.
-constexpr base::Duration kEarlyPatience = std::chrono::milliseconds(1500);
-constexpr std::size_t kMaxEarly = 256;
+constexpr base::Duration kEarlyRequestTimeout = std::chrono::milliseconds(1500);
+constexpr std::size_t kMaxEarlyRequests = 256;
 
 /// Returns the duration of a document lease. The lease counts from the time of its request, so that
 /// no part of it has to be reserved for message delays; a tenth is reserved for clock drift.
@@ -64,7 +64,7 @@
           directory_, options.selection,
           [&launcher](const registry::WorkerId& id) { return launcher.connected(id); }, this),
       demandTimer_(scheduler.createTimer([this] { reportDemand(); })),
-      earlyTimer_(scheduler.createTimer([this] { refuseLateEarly(); })) {}
+      earlyTimer_(scheduler.createTimer([this] { refuseExpiredEarly(); })) {}
 
 Gateway::~Gateway() = default;
 
@@ -83,9 +83,9 @@
   directory_.apply(update);
   applyLimits(update);
   gateways_ = std::max<std::uint32_t>(1, update.gateways);
-  noteNewest(update.documentVersion);
+  recordNewestVersion(update.documentVersion);
   for (auto& [service, budget] : budgets_) {
-    budget.setFloor(kBudgetShare * options_.retrySlack / gateways_);
+    budget.setFloor(kBudgetFraction * options_.retrySlack / gateways_);
   }
   if (update.complete || !update.changed.empty()) {
     wakeWaiting();
@@ -104,7 +104,7 @@
 void Gateway::lateModelsReceived(const registry::LateModels& late) {
   const base::TimePoint now = scheduler_.now();
   lateModels_.clear();
-  lateModelsUntil_ = now + registry::kLateModelsLast;
+  lateModelsExpireAt_ = now + registry::kLateModelsLast;
   for (const registry::LateModel& model : late.models) {
     lateModels_[{model.service, model.model}] = now + model.availableIn;
   }
@@ -115,7 +115,7 @@
 
 std::optional<base::TimePoint> Gateway::expectedAt(const std::string& service,
                                                    const std::string& model) const {
-  if (!session_.following() || scheduler_.now() >= lateModelsUntil_) {
+  if (!session_.following() || scheduler_.now() >= lateModelsExpireAt_) {
     return std::nullopt;
   }
   const auto found = lateModels_.find({service, model});
@@ -125,7 +125,7 @@
 void Gateway::leaderFollowed(bool gotSuspects) {
   quarantine_.leaderFollowed(gotSuspects);
   reportCutsSoon();
-  quietUntil_ = {};
+  nextEmptyReportAt_ = {};
   quota_.leaderLost();
   limits_.leaderFollowed();
   renewLease();
@@ -166,7 +166,7 @@
   }
 }
 
-void Gateway::noteNewest(std::uint64_t version) {
+void Gateway::recordNewestVersion(std::uint64_t version) {
   if (version <= newestVersion_) {
     return;
   }
@@ -178,14 +178,14 @@
 }
 
 bool Gateway::documentReceived(std::shared_ptr<const catalog::Document> document) {
-  const std::uint64_t former = documentVersion();
-  if (document->version <= former) {
+  const std::uint64_t previous = documentVersion();
+  if (document->version <= previous) {
     return false;
   }
   const auto behind =
       std::chrono::duration_cast<std::chrono::milliseconds>(scheduler_.now() - newestSince_);
   log_.write(LogEvent::documentTaken, {{"version", document->version},
-                                       {"former", former},
+                                       {"former", previous},
                                        {"newest", newestVersion_},
                                        {"millis", static_cast<std::uint64_t>(behind.count())}});
   document_ = std::move(document);
@@ -194,19 +194,19 @@
   if (!lease_.documentApplied(document_->version)) {
     renewLease();
   }
-  if (!early_.empty() && prepared()) {
+  if (!early_.empty() && isPrepared()) {
     scheduler_.runSoon([this] { routeEarly(); });
   }
   wakeWaiting();
   return true;
 }
 
-bool Gateway::prepared() const {
+bool Gateway::isPrepared() const {
   return routes_ != nullptr && (!document_->keyed || lease_.age(scheduler_.now()).has_value());
 }
 
 bool Gateway::ready() const {
-  return prepared() && !stopping_ && (!document_->keyed || lease_.valid(scheduler_.readClock()));
+  return isPrepared() && !stopping_ && (!document_->keyed || lease_.valid(scheduler_.readClock()));
 }
 
 void Gateway::refuseAll() {
@@ -239,8 +239,8 @@
 }
 
 void Gateway::onRequest(net::HttpRequest request, net::ResponseSink& sink) {
-  if (!prepared()) {
-    keepEarly(std::move(request), sink);
+  if (!isPrepared()) {
+    queueEarly(std::move(request), sink);
   } else {
     routeRequest(std::move(request), sink, base::Duration::zero());
   }
@@ -248,8 +248,8 @@
 
 /// Queues a request that comes before the first document, which arrives within moments of the start
 /// of a gateway. Refuses it if the queue is full.
-void Gateway::keepEarly(net::HttpRequest request, net::ResponseSink& sink) {
-  if (refusingAll_ || early_.size() >= kMaxEarly) {
+void Gateway::queueEarly(net::HttpRequest request, net::ResponseSink& sink) {
+  if (refusingAll_ || early_.size() >= kMaxEarlyRequests) {
     refuse(sink, dialect_.readRequest(request).requestId, kUnavailable,
            refusingAll_ ? "stopping" : "no document is known");
     return;
@@ -257,7 +257,7 @@
   early_.push_back({std::move(request), &sink, scheduler_.now()});
   const auto entry = std::prev(early_.end());
   sink.setGoneCallback([this, entry] { early_.erase(entry); });
-  earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyPatience);
+  earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyRequestTimeout);
 }
 
 void Gateway::routeEarly() {
@@ -267,15 +267,15 @@
   }
 }
 
-void Gateway::refuseLateEarly() {
-  while (!early_.empty() && early_.front().arrivedAt + kEarlyPatience <= scheduler_.now()) {
+void Gateway::refuseExpiredEarly() {
+  while (!early_.empty() && early_.front().arrivedAt + kEarlyRequestTimeout <= scheduler_.now()) {
     const EarlyRequest early = std::move(early_.front());
     early_.pop_front();
     refuse(*early.sink, dialect_.readRequest(early.request).requestId, kUnavailable,
            "no document is known");
   }
   if (!early_.empty()) {
-    earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyPatience);
+    earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyRequestTimeout);
   }
 }
 
@@ -372,8 +372,8 @@
 
 routing::RetryBudget& Gateway::budgetOf(const std::string& service) {
   return budgets_
-      .try_emplace(service, options_.retryRatio * kBudgetShare,
-                   kBudgetShare * options_.retrySlack / gateways_)
+      .try_emplace(service, options_.retryRatio * kBudgetFraction,
+                   kBudgetFraction * options_.retrySlack / gateways_)
       .first->second;
 }
 
@@ -414,8 +414,9 @@
     return;
   }
   registry::DemandUpdate update = demand_.takeUpdate(directory_);
-  if (!update.empty() || scheduler_.now() >= quietUntil_) {
-    quietUntil_ = update.empty() ? scheduler_.now() + kQuietInterval : base::TimePoint();
+  if (!update.empty() || scheduler_.now() >= nextEmptyReportAt_) {
+    nextEmptyReportAt_ =
+        update.empty() ? scheduler_.now() + kEmptyReportInterval : base::TimePoint();
     session_.send(std::move(update));
   }
 }
@@ -442,7 +443,8 @@
 }
 
 void Gateway::reportWithinSpacing() {
-  const base::Duration spacing = std::max(kUseSpacing, kUseSpacingPerGateway * gateways_);
+  const base::Duration spacing =
+      std::max(kUseReportSpacing, kUseReportSpacingPerGateway * gateways_);
   const base::TimePoint due = std::max(scheduler_.now(), demandReportedAt_ + spacing);
   if (due < demandDueAt_) {
     demandDueAt_ = due;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -124,7 +124,7 @@
  private:
   /// Number of gateways assumed until the registry announces it: rather too high, so that the retry
   /// budget per gateway is not exceeded.
-  static constexpr std::uint32_t kUnknownGateways = 16;
+  static constexpr std::uint32_t kInitialGatewayCount = 16;
   static constexpr base::Duration kRetryAfterRefusal = std::chrono::milliseconds(200);
 
   // ShareLookup
@@ -155,7 +155,7 @@
   using PendingRequests = std::list<PendingRequest>;
 
   /// @return true once requests can be routed and authenticated at all.
-  bool prepared() const;
+  bool isPrepared() const;
   const catalog::Tenant* authenticate(RequestFacts& facts, net::ResponseSink& sink);
   void logLeaseChange(base::TimePoint now);
   void countTenant(const std::string& tenant, int status);
@@ -180,9 +180,9 @@
   void admit(PendingRequest admitted);
   /// @param waited time that the request has spent here.
   void routeRequest(net::HttpRequest request, net::ResponseSink& sink, base::Duration waited);
-  void keepEarly(net::HttpRequest request, net::ResponseSink& sink);
+  void queueEarly(net::HttpRequest request, net::ResponseSink& sink);
   void routeEarly();
-  void refuseLateEarly();
+  void refuseExpiredEarly();
   void refuse(net::ResponseSink& sink, const std::string& requestId, int status,
               std::string_view reason, base::Duration retryAfter = kRetryAfterRefusal,
               const std::string& tenant = {});
@@ -194,7 +194,7 @@
   void reportCutsSoon();
   void reportUseSoon(const Worker& worker, const std::string& model);
   void reportWithinSpacing();
-  void noteNewest(std::uint64_t version);
+  void recordNewestVersion(std::uint64_t version);
   void wakeWaiting();
   /// Calls a method of all exchanges in the order of their arrival. The method may end exchanges.
   void forEachExchange(void (Exchange::*method)());
@@ -232,14 +232,14 @@
   RequestQuarantine quarantine_;
   /// Expected availability of models that are loaded late, by service and model.
   std::map<std::pair<std::string, std::string>, base::TimePoint> lateModels_;
-  base::TimePoint lateModelsUntil_;  ///< Expiry of `lateModels_`.
+  base::TimePoint lateModelsExpireAt_;  ///< Expiry of `lateModels_`.
   bool cutsSoon_ = false;
   event::TimerPtr demandTimer_;
   bool demandSoon_ = false;
-  base::TimePoint quietUntil_;  ///< No further empty report is sent before.
+  base::TimePoint nextEmptyReportAt_;  ///< No further empty report is sent before.
   base::TimePoint demandReportedAt_;
   base::TimePoint demandDueAt_;
-  std::uint32_t gateways_ = kUnknownGateways;
+  std::uint32_t gateways_ = kInitialGatewayCount;
   std::map<std::string, routing::RetryBudget> budgets_;             ///< By service.
   std::map<std::string, std::map<std::string, double>> rotations_;  ///< By route, by service.
   /// Ordered by number, so that waiting requests are woken in the order of their arrival: ordered
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -128,10 +128,10 @@
 }
 
 void Gateway::documentConfirmed(const registry::DocumentConfirmed& answer) {
-  const bool first = !prepared();
+  const bool first = !isPrepared();
   lease_.confirmed(answer, documentVersion());
   logLeaseChange(scheduler_.readClock());
-  if (first && prepared() && !early_.empty()) {
+  if (first && isPrepared() && !early_.empty()) {
     scheduler_.runSoon([this] { routeEarly(); });
   }
 }
