--- a/src/gateway/demand_tracker.cpp
+++ b/src/gateway/demand_tracker.cpp
@@ -10,8 +10,8 @@
   targetLatency = std::min(targetLatency, urgency.targetLatency);
 }
 
-void DemandTracker::arrived(const std::string& service, const std::string& model,
-                            const std::string& adapter, const Urgency& urgency) {
+void DemandTracker::requestArrived(const std::string& service, const std::string& model,
+                                   const std::string& adapter, const Urgency& urgency) {
   Counters& counters = counters_[{service, model, adapter}];
   ++counters.arrivals;
   counters.note(urgency);
--- a/src/gateway/demand_tracker.h
+++ b/src/gateway/demand_tracker.h
@@ -28,8 +28,8 @@
 
 class DemandTracker {
  public:
-  void arrived(const std::string& service, const std::string& model, const std::string& adapter,
-               const Urgency& urgency);
+  void requestArrived(const std::string& service, const std::string& model,
+                      const std::string& adapter, const Urgency& urgency);
   void waitBegan(const std::string& service, const std::string& model, const std::string& adapter,
                  const Urgency& urgency);
   void waitEnded(const std::string& service, const std::string& model, const std::string& adapter);
--- a/src/gateway/document_lease.h
+++ b/src/gateway/document_lease.h
@@ -34,7 +34,7 @@
   }
 
   /// @return true if the lease was extended.
-  bool confirmed(const registry::DocumentConfirmed& answer, std::uint64_t heldVersion) {
+  bool confirmationReceived(const registry::DocumentConfirmed& answer, std::uint64_t heldVersion) {
     const auto found = std::find_if(openRequests_.begin(), openRequests_.end(),
                                     [&answer](const OpenRequest& openRequest) {
                                       return openRequest.sequence == answer.sequence;
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -22,7 +22,7 @@
   /// Drops an incomplete event.
   void restart() { partial_.clear(); }
 
-  bool midEvent() const { return !partial_.empty(); }
+  bool hasPartialEvent() const { return !partial_.empty(); }
   /// Id of the last event that was passed on and had one; empty if there was none.
   const std::string& lastId() const { return lastId_; }
   std::uint64_t eventCount() const { return eventCount_; }
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -223,7 +223,7 @@
   facts.priority = priority();
   facts.resumeAfter = headSent_ ? events_.lastId() : std::string();
   context_.dialect().writeAttempt(request_, facts);
-  context_.selector().affinity().sent(facts_, worker->view.record.id);
+  context_.selector().affinity().recordSent(facts_, worker->view.record.id);
   context_.log().write(LogEvent::attemptStarted, {{"request", facts_.requestId},
                                                   {"route", route_.name},
                                                   {"document", document_->version},
@@ -452,7 +452,7 @@
        {"target", millisOf(route_.targetLatency)},
        {"target-gap", millisOf(route_.targetGap)},
        {"millis", millisOf(now() - arrivedAt_)}});
-  context_.ended(*this, status);
+  context_.exchangeEnded(*this, status);
 }
 
 }  // namespace walnut::gateway
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -109,7 +109,7 @@
   /// @return true if the registry's leader receives this gateway's demand reports.
   virtual bool hasLeader() const = 0;
   /// Called at the end of an exchange, which is destroyed in the next event loop iteration.
-  virtual void ended(Exchange& exchange, int status) = 0;
+  virtual void exchangeEnded(Exchange& exchange, int status) = 0;
 };
 
 /// Proxies one request of a caller. States: choosing (selects a worker) -> attempting (sent to a
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -168,7 +168,7 @@
 }
 
 void Exchange::completeStream() {
-  if (events_.midEvent()) {
+  if (events_.hasPartialEvent()) {
     reportCut();
     recordFailure();
     dropAttempt();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -320,7 +320,7 @@
   const std::string service = pickService(route);
   budgetOf(service).firstAttempt(scheduler_.now());
   if (!facts.model.empty()) {
-    demand_.arrived(service, facts.model, facts.adapter, urgencyOf(facts, route));
+    demand_.requestArrived(service, facts.model, facts.adapter, urgencyOf(facts, route));
   }
   const std::uint64_t number = ++lastExchange_;
   auto exchange =
@@ -422,12 +422,12 @@
 }
 
 void Gateway::attemptBegan(Worker& worker, const RequestFacts& facts) {
-  worker.began(facts.model);
+  worker.requestBegan(facts.model);
   reportUseSoon(worker, facts.model);
 }
 
 void Gateway::attemptEnded(Worker& worker, const RequestFacts& facts) {
-  worker.ended(facts.model);
+  worker.requestEnded(facts.model);
   reportUseSoon(worker, facts.model);
 }
 
@@ -473,7 +473,7 @@
   }
 }
 
-void Gateway::ended(Exchange& exchange, int status) {
+void Gateway::exchangeEnded(Exchange& exchange, int status) {
   metrics_.count("walnut_gateway_requests_total", std::to_string(status));
   const auto found = exchanges_.find(exchange.number());
   if (found != exchanges_.end()) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -119,7 +119,7 @@
                                             const std::string& model) const override;
   std::uint64_t documentVersion() const override;
   bool hasLeader() const override { return session_.following(); }
-  void ended(Exchange& exchange, int status) override;
+  void exchangeEnded(Exchange& exchange, int status) override;
 
  private:
   /// Number of gateways assumed until the registry announces it: rather too high, so that the retry
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -129,7 +129,7 @@
 
 void Gateway::documentConfirmed(const registry::DocumentConfirmed& answer) {
   const bool first = !isPrepared();
-  lease_.confirmed(answer, documentVersion());
+  lease_.confirmationReceived(answer, documentVersion());
   logLeaseChange(scheduler_.readClock());
   if (first && isPrepared() && !early_.empty()) {
     scheduler_.runSoon([this] { routeEarly(); });
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -179,7 +179,7 @@
 }
 
 void Gateway::sharesGranted(const registry::ShareGrant& grant) {
-  if (!limits_.granted(grant, scheduler_.now())) {
+  if (!limits_.grantReceived(grant, scheduler_.now())) {
     return;
   }
   for (const registry::WorkerId& worker : grant.unlimited) {
--- a/src/gateway/worker_directory.cpp
+++ b/src/gateway/worker_directory.cpp
@@ -44,12 +44,12 @@
   return false;
 }
 
-void Worker::began(const std::string& model) {
+void Worker::requestBegan(const std::string& model) {
   ++running;
   ++runningByModel[model];
 }
 
-void Worker::ended(const std::string& model) {
+void Worker::requestEnded(const std::string& model) {
   --running;
   const auto found = runningByModel.find(model);
   if (found != runningByModel.end() && --found->second == 0) {
--- a/src/gateway/worker_directory.h
+++ b/src/gateway/worker_directory.h
@@ -47,8 +47,8 @@
   bool holds(const std::string& model, const std::string& adapter, base::TimePoint now) const;
   /// @name Begin and end of a request of this gateway at the worker
   /// @{
-  void began(const std::string& model);
-  void ended(const std::string& model);
+  void requestBegan(const std::string& model);
+  void requestEnded(const std::string& model);
   /// @}
 
   /// @return the number of requests of all gateways at the worker, as far as known.
--- a/src/gateway/worker_limits.cpp
+++ b/src/gateway/worker_limits.cpp
@@ -218,7 +218,7 @@
   return request ? std::optional(registry::ShareRequest{std::move(*request)}) : std::nullopt;
 }
 
-bool WorkerLimits::granted(const registry::ShareGrant& grant, base::TimePoint now) {
+bool WorkerLimits::grantReceived(const registry::ShareGrant& grant, base::TimePoint now) {
   return shares_.granted(grant.grant, now);
 }
 
--- a/src/gateway/worker_limits.h
+++ b/src/gateway/worker_limits.h
@@ -93,7 +93,7 @@
   /// @return the next share request to the leader; nothing if there is none.
   std::optional<registry::ShareRequest> makeRequest(bool all, base::TimePoint now);
   /// @return true if the grant answers the open request.
-  bool granted(const registry::ShareGrant& grant, base::TimePoint now);
+  bool grantReceived(const registry::ShareGrant& grant, base::TimePoint now);
   /// @}
 
  private:
--- a/src/gateway/worker_selector.cpp
+++ b/src/gateway/worker_selector.cpp
@@ -37,7 +37,7 @@
   return key;
 }
 
-void PromptAffinity::sent(const RequestFacts& facts, const registry::WorkerId& worker) {
+void PromptAffinity::recordSent(const RequestFacts& facts, const registry::WorkerId& worker) {
   if (facts.promptParts.empty()) {
     return;
   }
--- a/src/gateway/worker_selector.h
+++ b/src/gateway/worker_selector.h
@@ -67,7 +67,7 @@
 /// the least recently used entry.
 class PromptAffinity {
  public:
-  void sent(const RequestFacts& facts, const registry::WorkerId& worker);
+  void recordSent(const RequestFacts& facts, const registry::WorkerId& worker);
   /// @return the worker that last processed a prompt with the same beginning, or nullptr.
   const registry::WorkerId* find(const RequestFacts& facts) const;
 
--- a/test/gateway/event_stream_test.cpp
+++ b/test/gateway/event_stream_test.cpp
@@ -19,15 +19,15 @@
     }
     STRCMP_EQUAL(text.c_str(), out.c_str());
     STRCMP_EQUAL("2", cut.lastId().c_str());
-    CHECK_FALSE(cut.midEvent());
+    CHECK_FALSE(cut.hasPartialEvent());
   }
 }
 
 TEST(EventStreamTest, aBegunEventStaysBack) {
   STRCMP_EQUAL("id: 1\n\n", stream.feed("id: 1\n\nid: 2\nda").c_str());
-  CHECK_TRUE(stream.midEvent());
+  CHECK_TRUE(stream.hasPartialEvent());
   stream.restart();
-  CHECK_FALSE(stream.midEvent());
+  CHECK_FALSE(stream.hasPartialEvent());
   STRCMP_EQUAL("1", stream.lastId().c_str());
 }
 
--- a/test/gateway/worker_selector_test.cpp
+++ b/test/gateway/worker_selector_test.cpp
@@ -38,7 +38,7 @@
 
 TEST(WorkerSelectorTest, theLessLoadedWorkerIsChosen) {
   know(2);
-  worker("w1").began("");
+  worker("w1").requestBegan("");
   STRCMP_EQUAL("w2", chosen().c_str());
   worker("w2").runningElsewhere = 3;
   STRCMP_EQUAL("w1", chosen().c_str());
@@ -49,7 +49,7 @@
   for (int count = 0; count < 5; ++count) {
     worker("w1").failures.observe(true, now);
   }
-  worker("w2").began("");
+  worker("w2").requestBegan("");
   STRCMP_EQUAL("w2", chosen().c_str());
   CHECK_TRUE(worker("w1").failures.value(now + 60s) < 0.01);
 }
@@ -68,7 +68,7 @@
   RequestFacts facts;
   facts.model = "m";
   facts.promptParts = {"p1", "p2", "own"};
-  selector.affinity().sent(facts, {"w3"});
+  selector.affinity().recordSent(facts, {"w3"});
   facts.promptParts = {"p1", "p2", "another"};
   STRCMP_EQUAL("w3", chosen(facts).c_str());
 }
