--- a/test/gateway/document_receiver_test.cpp
+++ b/test/gateway/document_receiver_test.cpp
@@ -49,8 +49,8 @@
 }
 
 TEST(DocumentReceiverTest, anotherDocumentTakesThePlaceOfTheOneUnderWay) {
-  const std::string former = catalog::packDocument(document(4));
-  (void)receiver.take(part(former, 4, 0, 10), nullptr);
+  const std::string previous = catalog::packDocument(document(4));
+  (void)receiver.take(part(previous, 4, 0, 10), nullptr);
   const std::string bytes = catalog::packDocument(document(5));
   const auto whole = receiver.take(part(bytes, 5, 0, bytes.size()), nullptr).value();
   CHECK_EQUAL(5, whole->version);
--- a/test/gateway/exchange_test.cpp
+++ b/test/gateway/exchange_test.cpp
@@ -11,11 +11,11 @@
 
 TEST_GROUP(ExchangeTest) {
   GatewayHarness harness;
-  const Sent& sent(std::size_t index) { return *harness.launcher.sent.at(index); }
+  const SentRequest& sent(std::size_t index) { return *harness.launcher.sent.at(index); }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
 
   /// The leader tells how many requests of all gateways are at each worker.
-  void load(std::initializer_list<std::uint32_t> running) {
+  void announceLoads(std::initializer_list<std::uint32_t> running) {
     registry::ViewUpdate update;
     std::size_t number = 0;
     for (const std::uint32_t count : running) {
@@ -25,9 +25,9 @@
   }
   /// A stream runs for a second from its first event on, so that the gateway knows how long one
   /// holds a slot.
-  void runAStream(const char* id) {
+  void completeStream(const char* id) {
     const auto caller = harness.request("stream", id);
-    const Sent& attempt = *harness.launcher.sent.back();
+    const SentRequest& attempt = *harness.launcher.sent.back();
     harness.scheduler.advance(50ms);
     harness.head(attempt, 200, id, true);
     attempt.callbacks->onResponseBody("id: 1\n\n");
@@ -334,10 +334,10 @@
 TEST(ExchangeTest, aSilentWorkerKeepsItsStreamIfTheOthersAreFull) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
-  load({9, 9});
+  announceLoads({9, 9});
   harness.scheduler.advance(3s);
   CHECK_EQUAL(1, sentCount());
-  load({9, 0});
+  announceLoads({9, 0});
   harness.scheduler.advance(2s);
   CHECK_EQUAL(2, sentCount());
   CHECK_TRUE(sent(0).cancelled);
@@ -345,8 +345,8 @@
 
 TEST(ExchangeTest, aStreamThatWouldBeginLateIsRefusedAtOnce) {
   harness.declare(2);
-  runAStream("r0");
-  load({9, 9});
+  completeStream("r0");
+  announceLoads({9, 9});
   const auto caller = harness.request("stream", "r1", "");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
@@ -355,8 +355,8 @@
 
 TEST(ExchangeTest, aStreamThatBeginsInTimeWaitsAtAFullWorker) {
   harness.declare(2);
-  runAStream("r0");
-  load({9, 4});
+  completeStream("r0");
+  announceLoads({9, 4});
   const auto caller = harness.request("stream", "r1");
   CHECK_EQUAL(1, sentCount());
   STRCMP_EQUAL("w2", sent(0).worker.id.value.c_str());
@@ -364,11 +364,11 @@
 
 TEST(ExchangeTest, aStreamThatHasBegunIsNotRefusedForItsQueue) {
   harness.declare(2);
-  runAStream("r0");
+  completeStream("r0");
   const auto caller = harness.request("stream", "r1");
   harness.head(sent(0), 200, "r1", true);
   sent(0).callbacks->onResponseBody("id: 1\n\n");
-  load({9, 9});
+  announceLoads({9, 9});
   harness.lose(sent(0));
   CHECK_EQUAL(2, sentCount());
   CHECK_FALSE(caller->aborted);
@@ -376,14 +376,14 @@
 
 TEST(ExchangeTest, aWorkerThatSaysItIsFullIsBelieved) {
   harness.declare(1);
-  runAStream("r0");
-  load({4});
+  completeStream("r0");
+  announceLoads({4});
   const auto first = harness.request("stream", "r1");
   harness.refuse(sent(0), 503, "r1");
   harness.scheduler.advance(100ms);
   CHECK_EQUAL(1, sentCount());
   CHECK_EQUAL(503, first->status);
-  load({2});
+  announceLoads({2});
   const auto second = harness.request("stream", "r2");
   CHECK_EQUAL(2, sentCount());
 }
--- a/test/gateway/failing_worker_test.cpp
+++ b/test/gateway/failing_worker_test.cpp
@@ -14,9 +14,9 @@
   GatewayHarness harness;
 
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
   /// The leader tells that a worker holds model m, and whether it fails.
-  void tell(std::size_t number, bool failing, bool holds = true) {
+  void announceWorker(std::size_t number, bool failing, bool holds = true) {
     registry::ViewUpdate update;
     update.changed = {GatewayHarness::worker(number)};
     update.changed[0].failing = failing;
@@ -80,7 +80,7 @@
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("bound", "r1");
-  const Sent& attempt = lastSent();
+  const SentRequest& attempt = lastSent();
   harness.head(attempt, 200, "r1", true);
   checkOutcomes(0, 0);
   attempt.callbacks->onResponseBody("id: 1\n\nid: 2\n\n");
@@ -129,8 +129,8 @@
 TEST(FailingWorkerTest, aFailingWorkerIsAvoidedWhileAnotherOneHoldsTheModel) {
   harness.declare(2);
   harness.follow();
-  tell(1, true);
-  tell(2, false);
+  announceWorker(1, true);
+  announceWorker(2, false);
   for (const char* id : {"r1", "r2", "r3", "r4"}) {
     const auto caller = harness.request("safe", id, "m");
     STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
@@ -141,13 +141,13 @@
 TEST(FailingWorkerTest, aModelThatOnlyAFailingWorkerHoldsIsWaitedFor) {
   harness.declare(2);
   harness.follow();
-  tell(1, true);
+  announceWorker(1, true);
   harness.link.demand.clear();
   const auto caller = harness.request("safe", "r1", "m");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(1, harness.link.demand.back().demands.at(0).waiting);
   harness.advanceFollowing(500ms);
-  tell(2, false);
+  announceWorker(2, false);
   CHECK_EQUAL(1, sentCount());
   STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
 }
@@ -155,7 +155,7 @@
 TEST(FailingWorkerTest, ifNoOtherReplicaComesTheFailingWorkerIsBetterThanNone) {
   harness.declare(1);
   harness.follow();
-  tell(1, true);
+  announceWorker(1, true);
   const auto caller = harness.request("safe", "r1", "m");
   harness.advanceFollowing(1800ms);
   CHECK_EQUAL(0, sentCount());
@@ -167,7 +167,7 @@
 
 TEST(FailingWorkerTest, withoutALeaderNobodyLoadsAnotherReplicaAndNothingIsWaitedFor) {
   harness.declare(1);
-  tell(1, true);
+  announceWorker(1, true);
   const auto caller = harness.request("safe", "r1", "m");
   CHECK_EQUAL(1, sentCount());
 }
@@ -175,11 +175,11 @@
 TEST(FailingWorkerTest, aPlainServiceHasNoOtherReplicaToWaitFor) {
   harness.declare(2);
   harness.follow();
-  tell(1, true);
-  tell(2, true);
+  announceWorker(1, true);
+  announceWorker(2, true);
   const auto caller = harness.request("safe", "r1");
   CHECK_EQUAL(1, sentCount());
-  tell(2, false);
+  announceWorker(2, false);
   const auto second = harness.request("safe", "r2");
   STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
 }
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -18,7 +18,7 @@
 class ManualScheduler : public event::Scheduler {
  public:
   base::TimePoint now() const override { return now_; }
-  base::TimePoint readClock() const override { return now_ + sleptInTurn_; }
+  base::TimePoint readClock() const override { return now_ + suspendedWithinIteration_; }
   event::TimerPtr createTimer(std::function<void()> callback) override {
     return timers_.create(std::move(callback));
   }
@@ -43,9 +43,9 @@
     now_ = end;
   }
   /// The machine is suspended within a turn of the loop: only the clock itself tells.
-  void sleepInTurn(base::Duration duration) { sleptInTurn_ = duration; }
+  void suspendWithinIteration(base::Duration duration) { suspendedWithinIteration_ = duration; }
   /// The machine was suspended: time has passed, and no timer has run yet.
-  void wakeAfter(base::Duration duration) { now_ += duration; }
+  void suspendFor(base::Duration duration) { now_ += duration; }
   /// Runs what is due by now.
   void runDue() {
     timers_.runDue(now_);
@@ -54,14 +54,14 @@
 
  private:
   base::TimePoint now_ = base::TimePoint(std::chrono::seconds(1000));
-  base::Duration sleptInTurn_{0};
+  base::Duration suspendedWithinIteration_{0};
   event::TimerQueue timers_;
   std::vector<std::function<void()>> deferred_;
 };
 
 /// Fields: Id, Deadline-Ms, Model ("m" or "m/a"), Resume, Key, Tokens (of the prompt), Tenant (the
 /// gateway's own); of answers: Id, Sealed, Not-Run.
-class PlainDialect : public RequestDialect {
+class TestDialect : public RequestDialect {
  public:
   RequestFacts readRequest(const net::HttpRequest& request) const override {
     RequestFacts facts;
@@ -84,7 +84,7 @@
     request.headers.remove("Tenant");
   }
   std::string callerOf(const net::HttpRequest& request) const override {
-    ++callersAsked;
+    ++callerLookups;
     return text(request.headers, "Caller");
   }
   void writeAttempt(net::HttpRequest& request, const AttemptFacts& facts) const override {
@@ -113,7 +113,7 @@
   }
   bool isReadinessCall(const net::HttpRequest&) const override { return false; }
 
-  mutable std::size_t callersAsked = 0;
+  mutable std::size_t callerLookups = 0;
 
  private:
   static std::string text(const net::HeaderList& headers, const char* name) {
@@ -150,7 +150,7 @@
 };
 
 /// What reached a worker.
-struct Sent {
+struct SentRequest {
   registry::WorkerRecord worker;
   net::HttpRequest request;
   net::ResponseCallbacks* callbacks = nullptr;
@@ -159,12 +159,12 @@
 
 class RecordingLauncher : public AttemptLauncher {
  public:
-  std::vector<std::shared_ptr<Sent>> sent;
+  std::vector<std::shared_ptr<SentRequest>> sent;
 
   std::unique_ptr<Attempt> start(const registry::WorkerRecord& worker,
                                  const net::HttpRequest& request,
                                  net::ResponseCallbacks& callbacks) override {
-    sent.push_back(std::make_shared<Sent>(Sent{worker, request, &callbacks, false}));
+    sent.push_back(std::make_shared<SentRequest>(SentRequest{worker, request, &callbacks, false}));
     return std::make_unique<Recorded>(sent.back());
   }
 
@@ -175,20 +175,20 @@
 
  private:
   struct Recorded : Attempt {
-    explicit Recorded(std::shared_ptr<Sent> entry) : sent(std::move(entry)) {}
+    explicit Recorded(std::shared_ptr<SentRequest> entry) : sent(std::move(entry)) {}
     void cancel() override { sent->cancelled = true; }
     void release() override {}
     void setReading(bool) override {}
-    std::shared_ptr<Sent> sent;
+    std::shared_ptr<SentRequest> sent;
   };
 };
 
-class DemandLink : public RegistryLink {
+class RecordingRegistryLink : public RegistryLink {
  public:
   std::vector<base::Endpoint> opened;
   std::vector<registry::DemandUpdate> demand;
   std::vector<registry::CutReport> cuts;
-  std::vector<registry::ConfirmDocument> questions;
+  std::vector<registry::ConfirmDocument> confirmRequests;
   std::vector<registry::QuotaRequest> quotas;
   std::vector<registry::LimitSighting> limits;
   std::vector<registry::QuotaRequest> shares;
@@ -200,8 +200,8 @@
       demand.push_back(std::move(*update));
     } else if (auto* report = std::get_if<registry::CutReport>(&message)) {
       cuts.push_back(std::move(*report));
-    } else if (auto* question = std::get_if<registry::ConfirmDocument>(&message)) {
-      questions.push_back(*question);
+    } else if (auto* confirm = std::get_if<registry::ConfirmDocument>(&message)) {
+      confirmRequests.push_back(*confirm);
     } else if (auto* quota = std::get_if<registry::QuotaRequest>(&message)) {
       quotas.push_back(std::move(*quota));
     } else if (auto* seen = std::get_if<registry::LimitReport>(&message)) {
@@ -252,9 +252,9 @@
 
   ManualScheduler scheduler;
   RecordingLauncher launcher;
-  DemandLink link;
+  RecordingRegistryLink link;
   RecordingLog log;
-  PlainDialect dialect;
+  TestDialect dialect;
 
  private:
   runtime::NullMetricsSink metrics_;
@@ -364,7 +364,8 @@
   }
 
   /// The worker's answer begins.
-  bool head(const Sent& sent, int status, const std::string& id, bool sealed, bool notRun = false) {
+  bool head(const SentRequest& sent, int status, const std::string& id, bool sealed,
+            bool notRun = false) {
     net::MessageHead made;
     made.status = status;
     made.headers.add("Id", id);
@@ -376,22 +377,22 @@
     }
     return sent.callbacks->onResponseHead(std::move(made));
   }
-  void answer(const Sent& sent, int status, const std::string& id, const std::string& body) {
+  void answer(const SentRequest& sent, int status, const std::string& id, const std::string& body) {
     head(sent, status, id, true);
     sent.callbacks->onResponseBody(body);
     sent.callbacks->onResponseComplete();
     scheduler.settle();
   }
-  void refuse(const Sent& sent, int status, const std::string& id) {
+  void refuse(const SentRequest& sent, int status, const std::string& id) {
     head(sent, status, id, false, true);
     sent.callbacks->onResponseComplete();
     scheduler.settle();
   }
-  void lose(const Sent& sent) {
+  void lose(const SentRequest& sent) {
     sent.callbacks->onResponseFailure({base::ErrorCode::connectionLost, "", ""}, true);
     scheduler.settle();
   }
-  void unreachable(const Sent& sent) {
+  void unreachable(const SentRequest& sent) {
     sent.callbacks->onResponseFailure({base::ErrorCode::connectFailed, "", ""}, false);
     scheduler.settle();
   }
--- a/test/gateway/key_admission_test.cpp
+++ b/test/gateway/key_admission_test.cpp
@@ -45,7 +45,7 @@
   }
   /// The leader answers the last question.
   void confirm(std::uint64_t version) {
-    harness.gateway.documentConfirmed({harness.link.questions.back().sequence, version});
+    harness.gateway.documentConfirmed({harness.link.confirmRequests.back().sequence, version});
     harness.scheduler.settle();
   }
   void begin() {
@@ -146,33 +146,33 @@
 TEST(KeyAdmissionTest, theLeaseCountsFromTheQuestion) {
   harness.follow();
   declareBoth();
-  const std::uint64_t question = harness.link.questions.front().sequence;
-  harness.scheduler.wakeAfter(4s);
-  harness.gateway.documentConfirmed({question, 1});
-  harness.scheduler.wakeAfter(600ms);
+  const std::uint64_t confirmSequence = harness.link.confirmRequests.front().sequence;
+  harness.scheduler.suspendFor(4s);
+  harness.gateway.documentConfirmed({confirmSequence, 1});
+  harness.scheduler.suspendFor(600ms);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
 }
 
 TEST(KeyAdmissionTest, afterASuspensionTheLeaseIsJudgedByTheTimeThatWasSlept) {
   begin();
-  harness.scheduler.wakeAfter(5s);
+  harness.scheduler.suspendFor(5s);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
 }
 
 /// The loop has read its clock, and then the machine sleeps; the request was sent meanwhile.
 TEST(KeyAdmissionTest, theClockIsReadAfterTheRequestHasCome) {
   begin();
-  harness.scheduler.sleepInTurn(5s);
+  harness.scheduler.suspendWithinIteration(5s);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
   CHECK_EQUAL(0, sentCount());
 }
 
 TEST(KeyAdmissionTest, aConfirmationOfANewerDocumentCountsOnceThatIsHeld) {
   begin();
-  harness.scheduler.wakeAfter(4s);
+  harness.scheduler.suspendFor(4s);
   harness.gateway.leaderFollowed(false);
   confirm(2);
-  harness.scheduler.wakeAfter(600ms);
+  harness.scheduler.suspendFor(600ms);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
   declare(2, {tenant("two", {"k1"})});
   const auto caller = request("safe", "r2", "k1");
@@ -195,7 +195,7 @@
   harness.follow();
   harness.declare(1);
   harness.advanceFollowing(3s);
-  CHECK(harness.link.questions.empty());
+  CHECK(harness.link.confirmRequests.empty());
   CHECK(harness.link.quotas.empty());
 }
 
@@ -219,7 +219,7 @@
 confirm(1);
 }
 /// A request is paid, and as much is held as the next one costs.
-std::unique_ptr<Caller> payAndHold() {
+std::unique_ptr<Caller> spendAndHold() {
   beginLimited();
   auto caller = request("safe", "r1", "k1", "50");
   grant(100);
@@ -243,11 +243,11 @@
 }
 
 TEST(QuotaAdmissionTest, whatIsHeldPaysWithoutAsking) {
-  const auto first = payAndHold();
-  const std::size_t asked = harness.link.quotas.size();
+  const auto first = spendAndHold();
+  const std::size_t requestCount = harness.link.quotas.size();
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(2, sentCount());
-  CHECK_EQUAL(asked, harness.link.quotas.size());
+  CHECK_EQUAL(requestCount, harness.link.quotas.size());
 }
 
 TEST(QuotaAdmissionTest, aRequestWithoutACountOfTokensCountsAsAPlainOne) {
@@ -290,16 +290,16 @@
 }
 
 TEST(QuotaAdmissionTest, whatIsHeldEndsWithItsLease) {
-  const auto first = payAndHold();
-  harness.scheduler.wakeAfter(registry::kQuotaLease);
+  const auto first = spendAndHold();
+  harness.scheduler.suspendFor(registry::kQuotaLease);
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(1, sentCount());
 }
 
 /// The lease on keys outlasts that on what is held.
 TEST(QuotaAdmissionTest, whatIsHeldIsJudgedByTheClockReadAfterTheRequestHasCome) {
-  const auto first = payAndHold();
-  harness.scheduler.sleepInTurn(registry::kQuotaLease);
+  const auto first = spendAndHold();
+  harness.scheduler.suspendWithinIteration(registry::kQuotaLease);
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(1, sentCount());
 }
--- a/test/gateway/late_model_test.cpp
+++ b/test/gateway/late_model_test.cpp
@@ -19,14 +19,14 @@
     harness.declare(1);
     harness.follow();
   }
-  void tell(base::Duration availableIn) {
+  void announceLateModel(base::Duration availableIn) {
     harness.gateway.lateModelsReceived({{{"svc", "m", availableIn}}});
     harness.scheduler.settle();
   }
 };
 
 TEST(LateModelTest, aCallerThatWouldWaitInVainIsToldAtOnceWhenToComeBack) {
-  tell(18s);
+  announceLateModel(18s);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(503, caller->status);
   STRCMP_EQUAL("18.00", caller->headers.find("Retry-After")->c_str());
@@ -35,45 +35,45 @@
 TEST(LateModelTest, oneThatWaitsAlreadyIsTold) {
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
-  tell(18s);
+  announceLateModel(18s);
   CHECK_EQUAL(503, caller->status);
 }
 
 TEST(LateModelTest, aModelThatComesInTimeIsWaitedFor) {
-  tell(2s);
+  announceLateModel(2s);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
 TEST(LateModelTest, anotherModelIsWaitedFor) {
-  tell(18s);
+  announceLateModel(18s);
   const auto caller = harness.request("bound", "r1", "other");
   CHECK_EQUAL(0, caller->status);
 }
 
 TEST(LateModelTest, theLeadersWordCountsForSecondsOnly) {
-  tell(18s);
+  announceLateModel(18s);
   harness.advanceFollowing(registry::kLateModelsLast);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
 TEST(LateModelTest, afterASuspensionTheWordIsAsOldAsItIs) {
-  tell(18s);
-  harness.scheduler.wakeAfter(registry::kLateModelsLast);
+  announceLateModel(18s);
+  harness.scheduler.suspendFor(registry::kLateModelsLast);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
 TEST(LateModelTest, theNextWordReplacesIt) {
-  tell(18s);
+  announceLateModel(18s);
   harness.gateway.lateModelsReceived({});
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
 TEST(LateModelTest, aModelThatSomebodyServesIsUsedWhateverIsExpected) {
-  tell(18s);
+  announceLateModel(18s);
   registry::ViewUpdate update;
   update.changed = {GatewayHarness::worker(1)};
   update.changed[0].holdingsKnown = true;
--- a/test/gateway/limited_worker_test.cpp
+++ b/test/gateway/limited_worker_test.cpp
@@ -24,10 +24,11 @@
     return harness.request(route, "r" + std::to_string(++lastRequest));
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
   /// The worker answers what it was sent last.
   /// @param limit empty: it names none.
-  void answer(const Sent& sent, const std::string& limit, bool sealed = true, int status = 200) {
+  void answer(const SentRequest& sent, const std::string& limit, bool sealed = true,
+              int status = 200) {
     net::MessageHead head;
     head.status = status;
     head.headers.add("Id", *sent.request.headers.find("Id"));
@@ -44,7 +45,7 @@
     const auto caller = request();
     answer(lastSent(), text);
   }
-  void tell(std::optional<double> limit, bool complete = false) {
+  void announceLimit(std::optional<double> limit, bool complete = false) {
     registry::ViewUpdate update;
     update.complete = complete;
     update.changed = {GatewayHarness::worker(1)};
@@ -53,8 +54,8 @@
     harness.scheduler.settle();
   }
   void grant(double requests, base::Duration retryAfter = 0ms) {
-    const registry::QuotaRequest& question = harness.link.shares.back();
-    harness.gateway.sharesGranted({{question.sequence, {{"w1", requests, retryAfter}}}, {}});
+    const registry::QuotaRequest& shareRequest = harness.link.shares.back();
+    harness.gateway.sharesGranted({{shareRequest.sequence, {{"w1", requests, retryAfter}}}, {}});
     harness.scheduler.settle();
   }
   /// The leader is lost, and no other one is found.
@@ -87,10 +88,10 @@
   CHECK(seconds >= 1.5 && seconds <= 2.25);
   CHECK_EQUAL(1, sentCount());
   // The next one is not asked for at all.
-  const std::size_t questions = harness.link.shares.size();
+  const std::size_t shareRequestCount = harness.link.shares.size();
   const auto next = request();
   CHECK_EQUAL(503, next->status);
-  CHECK_EQUAL(questions, harness.link.shares.size());
+  CHECK_EQUAL(shareRequestCount, harness.link.shares.size());
 }
 
 /// A failing worker is not worth a question, and without a share it is no last resort either.
@@ -170,14 +171,14 @@
 TEST(LimitedWorkerTest, theLeadersWordEndsALimit) {
   begin();
   limit("1");
-  tell(1);
+  announceLimit(1);
   harness.scheduler.advance(10ms);
   const auto caller = request();
   grant(1);
   answer(lastSent(), "");
   CHECK_EQUAL(2, harness.link.limits.size());
   CHECK(!harness.link.limits[1].perSecond);
-  tell(std::nullopt);
+  announceLimit(std::nullopt);
   const std::size_t before = sentCount();
   const auto next = request();
   CHECK_EQUAL(before + 1, sentCount());
@@ -188,7 +189,7 @@
 TEST(LimitedWorkerTest, aLeaderThatHasNotHeardOfALimitDoesNotEndIt) {
   begin();
   limit("1");
-  tell(std::nullopt);
+  announceLimit(std::nullopt);
   const auto caller = request();
   CHECK_EQUAL(1, sentCount());
 }
@@ -197,8 +198,8 @@
   begin();
   limit("1");
   const auto caller = request();
-  const registry::QuotaRequest& question = harness.link.shares.back();
-  harness.gateway.sharesGranted({{question.sequence, {{"w1", 1, 0ms}}}, {{"w1"}}});
+  const registry::QuotaRequest& shareRequest = harness.link.shares.back();
+  harness.gateway.sharesGranted({{shareRequest.sequence, {{"w1", 1, 0ms}}}, {{"w1"}}});
   harness.scheduler.settle();
   CHECK_EQUAL(2, sentCount());
   const auto next = request();
@@ -276,7 +277,7 @@
   DOUBLES_EQUAL(1, *harness.link.limits[1].perSecond, 0.001);
   CHECK(harness.link.limits[1].answeredAgo == 200ms);
   // Its first view has no limit yet.
-  tell(std::nullopt, true);
+  announceLimit(std::nullopt, true);
   const auto caller = request();
   CHECK_EQUAL(1, sentCount());
 }
@@ -325,7 +326,7 @@
   const auto caller = request();
   grant(2);
   CHECK_EQUAL(2, sentCount());
-  harness.scheduler.sleepInTurn(registry::kQuotaLease);
+  harness.scheduler.suspendWithinIteration(registry::kQuotaLease);
   const auto next = request();
   CHECK_EQUAL(2, sentCount());
 }
--- a/test/gateway/registry_follower_test.cpp
+++ b/test/gateway/registry_follower_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-struct SentLink : RegistryLink {
+struct RecordingLink : RegistryLink {
   std::vector<base::Endpoint> opens;
   std::vector<registry::MessageBody> sent;
   std::size_t closes = 0;
@@ -33,10 +33,10 @@
 
 TEST_GROUP(RegistryFollowerTest) {
   ManualScheduler scheduler;
-  SentLink link;
+  RecordingLink link;
   runtime::NullEventLog log;
   runtime::NullMetricsSink metrics;
-  PlainDialect dialect;
+  TestDialect dialect;
   RecordingLauncher launcher;
   RegistrySession session{GatewayHarness::sessionOptions(), scheduler, link, log, 1};
   Gateway gateway{GatewayHarness::options(), scheduler, dialect, launcher, session, log, metrics};
--- a/test/gateway/registry_session_test.cpp
+++ b/test/gateway/registry_session_test.cpp
@@ -53,8 +53,8 @@
 };
 
 TEST(RegistrySessionTest, allServersAreTriedUntilOneLeads) {
-  for (std::size_t tried = 1; tried <= 6; ++tried) {
-    CHECK_EQUAL(tried, link.opens.size());
+  for (std::size_t attempt = 1; attempt <= 6; ++attempt) {
+    CHECK_EQUAL(attempt, link.opens.size());
     session->openFailed(link.opens.back());
     scheduler.advance(options.retryPauseMax);
   }
@@ -115,7 +115,7 @@
 }
 
 TEST(RegistrySessionTest, onceALeaderWasFollowedTheSearchIsQuickAgain) {
-  for (int tried = 0; tried < 20; ++tried) {
+  for (int attempt = 0; attempt < 20; ++attempt) {
     session->openFailed(link.opens.back());
     scheduler.advance(options.retryPauseMax);
   }
--- a/test/gateway/request_digest_test.cpp
+++ b/test/gateway/request_digest_test.cpp
@@ -12,7 +12,7 @@
 using namespace walnut::gateway::testing;
 
 TEST_GROUP(RequestDigestTest) {
-  PlainDialect dialect;
+  TestDialect dialect;
   net::HttpRequest request;
 
   void setup() override {
--- a/test/gateway/request_quarantine_test.cpp
+++ b/test/gateway/request_quarantine_test.cpp
@@ -22,7 +22,7 @@
     harness.follow();
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
   /// @return the digest of the request that `harness.request` makes.
   registry::RequestDigest digestFor(const std::string& route, const std::string& body) {
     net::HttpRequest request;
@@ -31,10 +31,10 @@
     request.body = body;
     return digestOf(harness.dialect.callerOf(request), request);
   }
-  void tell(RequestStanding standing, const std::string& route, const std::string& body,
-            base::Duration lasts = 60s) {
+  void announceSuspect(RequestStanding standing, const std::string& route, const std::string& body,
+                       base::Duration duration = 60s) {
     registry::SuspectList list;
-    list.requests.push_back({digestFor(route, body), standing, 3, lasts});
+    list.requests.push_back({digestFor(route, body), standing, 3, duration});
     harness.gateway.suspectsReceived(list);
     harness.scheduler.settle();
   }
@@ -50,7 +50,7 @@
   const auto second = request("stream", "r2");
   harness.refuse(lastSent(), 503, "r2");
   harness.advanceFollowing(1s);
-  CHECK_EQUAL(0, harness.dialect.callersAsked);
+  CHECK_EQUAL(0, harness.dialect.callerLookups);
   CHECK(harness.link.cuts.empty());
 }
 
@@ -69,7 +69,7 @@
 
 TEST(RequestQuarantineTest, whatIsCutTogetherIsToldTogether) {
   const auto first = request("once", "r1", "one");
-  const Sent sent = lastSent();
+  const SentRequest sent = lastSent();
   const auto second = request("once", "r2", "two");
   sent.callbacks->onResponseFailure({base::ErrorCode::connectionLost, "", ""}, true);
   lastSent().callbacks->onResponseFailure({base::ErrorCode::connectionLost, "", ""}, true);
@@ -94,7 +94,7 @@
 }
 
 TEST(RequestQuarantineTest, aQuarantinedRequestIsRefusedAsNotRunForAsLongAsThatLasts) {
-  tell(RequestStanding::quarantined, "once", "same", 60s);
+  announceSuspect(RequestStanding::quarantined, "once", "same", 60s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
@@ -104,7 +104,7 @@
 }
 
 TEST(RequestQuarantineTest, aHeldRequestWaitsUntilMoreIsKnown) {
-  tell(RequestStanding::held, "once", "same", 2s);
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
   harness.advanceFollowing(1900ms);
   CHECK_EQUAL(0, sentCount());
@@ -114,7 +114,7 @@
 }
 
 TEST(RequestQuarantineTest, aHeldRequestGoesOnAsSoonAsItIsCleared) {
-  tell(RequestStanding::held, "once", "same", 2s);
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
   harness.gateway.suspectsReceived({});
   harness.scheduler.settle();
@@ -122,15 +122,15 @@
 }
 
 TEST(RequestQuarantineTest, aHeldRequestIsRefusedAsSoonAsItIsQuarantined) {
-  tell(RequestStanding::held, "once", "same", 2s);
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
-  tell(RequestStanding::quarantined, "once", "same");
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
 }
 
 TEST(RequestQuarantineTest, aHeldRequestWithoutTheTimeToWaitIsRefusedAtOnce) {
-  tell(RequestStanding::held, "once", "same", 6s);
+  announceSuspect(RequestStanding::held, "once", "same", 6s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(503, caller->status);
   STRCMP_EQUAL("6.00", caller->headers.find("Retry-After")->c_str());
@@ -138,14 +138,14 @@
 
 TEST(RequestQuarantineTest, whatIsWithAWorkerIsLeftThereWhileItIsHeld) {
   const auto caller = request("once", "r1");
-  tell(RequestStanding::held, "once", "same", 2s);
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   CHECK_FALSE(lastSent().cancelled);
   harness.answer(lastSent(), 200, "r1", "x");
   CHECK_EQUAL(200, caller->status);
 }
 
 TEST(RequestQuarantineTest, aSuspectGoesOnAndIsToldOfOnceItIsAnswered) {
-  tell(RequestStanding::suspected, "once", "same");
+  announceSuspect(RequestStanding::suspected, "once", "same");
   const auto caller = request("once", "r1");
   harness.answer(lastSent(), 200, "r1", "x");
   CHECK_EQUAL(200, caller->status);
@@ -154,7 +154,7 @@
 }
 
 TEST(RequestQuarantineTest, anErrorOfTheWorkersOwnIsAnAnswerToo) {
-  tell(RequestStanding::suspected, "once", "same");
+  announceSuspect(RequestStanding::suspected, "once", "same");
   const auto caller = request("once", "r1");
   harness.answer(lastSent(), 500, "r1", "x");
   CHECK_EQUAL(500, caller->status);
@@ -177,7 +177,7 @@
 
 TEST(RequestQuarantineTest, whatIsQueuedAtAWorkerIsTakenBack) {
   const auto caller = request("once", "r1");
-  tell(RequestStanding::quarantined, "once", "same");
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   CHECK(lastSent().cancelled);
   CHECK_EQUAL(502, caller->status);
 }
@@ -186,29 +186,29 @@
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   lastSent().callbacks->onResponseBody("id: 1\n\n");
-  tell(RequestStanding::quarantined, "bound", "same");
+  announceSuspect(RequestStanding::quarantined, "bound", "same");
   CHECK_FALSE(lastSent().cancelled);
 }
 
 TEST(RequestQuarantineTest, whatWaitsForAWorkerIsRefusedAtOnce) {
   const auto caller = harness.request("bound", "r1", "m", "same");
   CHECK_EQUAL(0, sentCount());
-  tell(RequestStanding::quarantined, "bound", "same");
+  announceSuspect(RequestStanding::quarantined, "bound", "same");
   CHECK_EQUAL(503, caller->status);
 }
 
 TEST(RequestQuarantineTest, aCutRequestIsNotRepeatedWhileItIsHeld) {
   const auto caller = request("safe", "r1");
-  tell(RequestStanding::held, "safe", "same", 2s);
+  announceSuspect(RequestStanding::held, "safe", "same", 2s);
   harness.lose(lastSent());
   CHECK_EQUAL(1, sentCount());
-  tell(RequestStanding::quarantined, "safe", "same");
+  announceSuspect(RequestStanding::quarantined, "safe", "same");
   CHECK_EQUAL(1, sentCount());
   CHECK_EQUAL(502, caller->status);
 }
 
 TEST(RequestQuarantineTest, verdictsAreKeptWhileThereIsNoLeader) {
-  tell(RequestStanding::quarantined, "once", "same");
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   harness.scheduler.advance(5s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(503, caller->status);
@@ -216,7 +216,7 @@
 }
 
 TEST(RequestQuarantineTest, aNewLeadersWordReplacesThem) {
-  tell(RequestStanding::quarantined, "once", "same");
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   harness.gateway.leaderFollowed(true);
   const auto refused = request("once", "r1");
   CHECK_EQUAL(503, refused->status);
--- a/test/gateway/suspension_test.cpp
+++ b/test/gateway/suspension_test.cpp
@@ -20,8 +20,8 @@
     harness.follow();
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
-  void tellWorkerHolds(const char* model) {
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
+  void announceModel(const char* model) {
     registry::ViewUpdate update;
     update.changed = {GatewayHarness::worker(1)};
     update.changed[0].holdingsKnown = true;
@@ -33,15 +33,15 @@
 
 TEST(SuspensionTest, aRequestWhoseDeadlineHasPassedIsNotSent) {
   const auto caller = harness.request("bound", "r1", "m");
-  harness.scheduler.wakeAfter(6s);
-  tellWorkerHolds("m");
+  harness.scheduler.suspendFor(6s);
+  announceModel("m");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
 }
 
 TEST(SuspensionTest, aFailedAttemptIsNotRepeatedPastTheDeadline) {
   const auto caller = harness.request("safe", "r1");
-  harness.scheduler.wakeAfter(6s);
+  harness.scheduler.suspendFor(6s);
   harness.lose(lastSent());
   CHECK_EQUAL(1, sentCount());
   CHECK_EQUAL(502, caller->status);
@@ -49,7 +49,7 @@
 
 TEST(SuspensionTest, anAnswerThatCameMeanwhileIsDelivered) {
   const auto caller = harness.request("safe", "r1");
-  harness.scheduler.wakeAfter(6s);
+  harness.scheduler.suspendFor(6s);
   harness.answer(lastSent(), 200, "r1", "x");
   harness.scheduler.runDue();
   CHECK_EQUAL(200, caller->status);
@@ -64,7 +64,7 @@
   list.requests.push_back({digestOf(harness.dialect.callerOf(request), request),
                            registry::RequestStanding::quarantined, 3, 5s});
   harness.gateway.suspectsReceived(list);
-  harness.scheduler.wakeAfter(6s);
+  harness.scheduler.suspendFor(6s);
   const auto caller = harness.request("once", "r1", "", "same");
   CHECK_EQUAL(1, sentCount());
 }
@@ -73,7 +73,7 @@
 TEST(SuspensionTest, aCutIsToldWithTheTimeThatWasSlept) {
   const auto caller = harness.request("once", "r1");
   harness.lose(lastSent());
-  harness.scheduler.wakeAfter(7s);
+  harness.scheduler.suspendFor(7s);
   harness.gateway.leaderFollowed(false);
   harness.scheduler.settle();
   CHECK_EQUAL(2, harness.link.cuts.size());
@@ -88,7 +88,7 @@
   }
   const auto early = harness.request("once", "r4");
   CHECK_EQUAL(3, sentCount());
-  harness.scheduler.wakeAfter(3s);
+  harness.scheduler.suspendFor(3s);
   const auto late = harness.request("once", "r5");
   CHECK_EQUAL(4, sentCount());
 }
--- a/test/gateway/worker_selector_test.cpp
+++ b/test/gateway/worker_selector_test.cpp
@@ -20,7 +20,7 @@
                             return unconnected.count(id.value) == 0;
                           }};
 
-  void know(std::size_t count) {
+  void setWorkers(std::size_t count) {
     registry::ViewUpdate update;
     update.complete = true;
     for (std::size_t number = 1; number <= count; ++number) {
@@ -30,38 +30,38 @@
     directory.apply(update);
   }
   Worker& worker(const char* id) { return *directory.workers().at({id}); }
-  std::string chosen(const RequestFacts& facts = {}) {
+  std::string selectedWorker(const RequestFacts& facts = {}) {
     const Selection selection = selector.select("svc", facts, {}, now);
     return selection.worker == nullptr ? "" : selection.worker->view.record.id.value;
   }
 };
 
 TEST(WorkerSelectorTest, theLessLoadedWorkerIsChosen) {
-  know(2);
+  setWorkers(2);
   worker("w1").requestBegan("");
-  STRCMP_EQUAL("w2", chosen().c_str());
+  STRCMP_EQUAL("w2", selectedWorker().c_str());
   worker("w2").runningElsewhere = 3;
-  STRCMP_EQUAL("w1", chosen().c_str());
+  STRCMP_EQUAL("w1", selectedWorker().c_str());
 }
 
 TEST(WorkerSelectorTest, aFailingWorkerIsPassedOverForAWhile) {
-  know(2);
+  setWorkers(2);
   for (int count = 0; count < 5; ++count) {
     worker("w1").failures.observe(true, now);
   }
   worker("w2").requestBegan("");
-  STRCMP_EQUAL("w2", chosen().c_str());
+  STRCMP_EQUAL("w2", selectedWorker().c_str());
   CHECK_TRUE(worker("w1").failures.value(now + 60s) < 0.01);
 }
 
 TEST(WorkerSelectorTest, theOwnZoneIsPreferredAtEqualLoad) {
-  know(2);
+  setWorkers(2);
   worker("w1").view.record.zone = {"there"};
-  STRCMP_EQUAL("w2", chosen().c_str());
+  STRCMP_EQUAL("w2", selectedWorker().c_str());
 }
 
 TEST(WorkerSelectorTest, aWorkerThatKnowsThePromptIsPreferred) {
-  know(3);
+  setWorkers(3);
   for (const char* id : {"w1", "w2", "w3"}) {
     worker(id).view.models = {{"m", 1, {}}};
   }
@@ -70,18 +70,18 @@
   facts.promptParts = {"p1", "p2", "own"};
   selector.affinity().recordSent(facts, {"w3"});
   facts.promptParts = {"p1", "p2", "another"};
-  STRCMP_EQUAL("w3", chosen(facts).c_str());
+  STRCMP_EQUAL("w3", selectedWorker(facts).c_str());
 }
 
 TEST(WorkerSelectorTest, aNewConnectionIsAvoidedAtEqualLoad) {
-  know(2);
+  setWorkers(2);
   unconnected = {"w1"};
-  STRCMP_EQUAL("w2", chosen().c_str());
+  STRCMP_EQUAL("w2", selectedWorker().c_str());
 }
 
 TEST(WorkerSelectorTest, theReasonIsNamedWhenNobodyCanBeHad) {
   CHECK_TRUE(selector.select("svc", {}, {}, now).reason == NoWorkerReason::noWorkers);
-  know(1);
+  setWorkers(1);
   RequestFacts facts;
   facts.model = "m";
   CHECK_TRUE(selector.select("svc", facts, {}, now).reason == NoWorkerReason::notHeld);
@@ -89,7 +89,7 @@
 }
 
 TEST(WorkerSelectorTest, loadsStandUntilTheyAreToldAnew) {
-  know(1);
+  setWorkers(1);
   registry::ViewUpdate update;
   update.loads = {{{"w1"}, "", 5}};
   directory.apply(update);
@@ -102,7 +102,7 @@
 }
 
 TEST(WorkerSelectorTest, aCompleteUpdateEndsLoadsThatItDoesNotName) {
-  know(1);
+  setWorkers(1);
   registry::ViewUpdate update;
   update.loads = {{{"w1"}, "", 5}};
   directory.apply(update);
@@ -118,24 +118,24 @@
 TEST(WorkerSelectorTest, gatewaysThatKnowTheSameDontAllChooseTheSame) {
   constexpr std::size_t kWorkers = 6;
   constexpr int kGateways = 60;
-  know(kWorkers);
-  std::map<std::string, int> chosenBy;
+  setWorkers(kWorkers);
+  std::map<std::string, int> selections;
   for (int gateway = 1; gateway <= kGateways; ++gateway) {
     WorkerSelectorOptions options;
     options.zone = {"here"};
     options.seed = static_cast<std::uint64_t>(gateway);
     WorkerSelector other(directory, options, [](const registry::WorkerId&) { return true; });
-    ++chosenBy[other.select("svc", {}, {}, now).worker->view.record.id.value];
+    ++selections[other.select("svc", {}, {}, now).worker->view.record.id.value];
   }
-  CHECK_EQUAL(kWorkers, chosenBy.size());
-  for (const auto& [worker, count] : chosenBy) {
+  CHECK_EQUAL(kWorkers, selections.size());
+  for (const auto& [worker, count] : selections) {
     CHECK_TRUE(count <= kGateways / 3);
   }
 }
 
 TEST(WorkerSelectorTest, aMuchBusierWorkerIsNeverChosen) {
   constexpr std::uint64_t kGateways = 60;
-  know(2);
+  setWorkers(2);
   worker("w1").runningElsewhere = 2;  // Of 4 slots.
   for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
     WorkerSelector other(directory, {{"here"}, WorkerSelectorOptions().spread, gateway},
