--- a/test/gateway/demand_report_test.cpp
+++ b/test/gateway/demand_report_test.cpp
@@ -27,7 +27,7 @@
   std::size_t reports() const { return harness.link.demand.size(); }
 };
 
-TEST(DemandReportTest, thatAModelIsUsedAndThatItIsNoLongerIsToldSoon) {
+TEST(DemandReportTest, beginAndEndOfUseOfAModelAreReportedSoon) {
   const auto caller = harness.request("stream", "r1", "m");
   harness.scheduler.advance(60ms);
   CHECK_EQUAL(1, reports());
@@ -39,7 +39,7 @@
   CHECK_TRUE(harness.link.demand.back().loads.empty());
 }
 
-TEST(DemandReportTest, furtherRequestsOfAModelInUseAreToldAtTheUsualTime) {
+TEST(DemandReportTest, furtherRequestsForAModelInUseAreReportedAtTheRegularInterval) {
   const auto first = harness.request("stream", "r1", "m");
   harness.scheduler.advance(60ms);
   const auto second = harness.request("stream", "r2", "m");
@@ -47,7 +47,7 @@
   CHECK_EQUAL(1, reports());
 }
 
-TEST(DemandReportTest, demandSaysHowUrgentItIs) {
+TEST(DemandReportTest, demandIncludesItsUrgency) {
   const auto caller = harness.request("stream", "r1", "other");
   CHECK_EQUAL(1, reports());
   const registry::ModelDemand& demand = harness.link.demand.back().demands.at(0);
@@ -58,13 +58,13 @@
 
 /// Thousands of gateways have nothing to tell most of the time; their servers take a connection on
 /// which nothing comes for 10 s for lost.
-TEST(DemandReportTest, aGatewayWithNothingToTellSaysSoSeldomButInTime) {
+TEST(DemandReportTest, emptyReportsAreRareButKeepTheConnection) {
   harness.advanceFollowing(30s);
   CHECK_TRUE(reports() >= 6);
   CHECK_TRUE(reports() <= 11);
 }
 
-TEST(DemandReportTest, theFirstReportWithNothingIsNews) {
+TEST(DemandReportTest, theFirstEmptyReportIsSent) {
   const auto caller = harness.request("stream", "r1", "m");
   harness.advanceFollowing(600ms);
   harness.answer(*harness.launcher.sent.back(), 200, "r1", "id: 1\ndata: x\n\n");
--- a/test/gateway/document_receiver_test.cpp
+++ b/test/gateway/document_receiver_test.cpp
@@ -33,7 +33,7 @@
   }
 };
 
-TEST(DocumentReceiverTest, theLastPartMakesTheDocument) {
+TEST(DocumentReceiverTest, theLastPartCompletesTheDocument) {
   const std::string bytes = catalog::packDocument(document(4));
   CHECK_TRUE(receiver.take(part(bytes, 4, 0, 10), nullptr).value() == nullptr);
   CHECK_EQUAL(10, receiver.cursor().received);
@@ -41,14 +41,14 @@
   CHECK_TRUE(*whole == document(4));
 }
 
-TEST(DocumentReceiverTest, aPartThatCameBeforeChangesNothing) {
+TEST(DocumentReceiverTest, aDuplicatePartIsIgnored) {
   const std::string bytes = catalog::packDocument(document(4));
   (void)receiver.take(part(bytes, 4, 0, 10), nullptr);
   (void)receiver.take(part(bytes, 4, 0, 5), nullptr);
   CHECK_EQUAL(10, receiver.cursor().received);
 }
 
-TEST(DocumentReceiverTest, anotherDocumentTakesThePlaceOfTheOneUnderWay) {
+TEST(DocumentReceiverTest, anotherDocumentReplacesTheIncompleteOne) {
   const std::string previous = catalog::packDocument(document(4));
   (void)receiver.take(part(previous, 4, 0, 10), nullptr);
   const std::string bytes = catalog::packDocument(document(5));
@@ -56,7 +56,7 @@
   CHECK_EQUAL(5, whole->version);
 }
 
-TEST(DocumentReceiverTest, aDeltaIsAppliedToWhatIsHeld) {
+TEST(DocumentReceiverTest, aDeltaIsAppliedToTheHeldDocument) {
   const catalog::Document held = document(4);
   catalog::Document next = document(6);
   next.services.push_back({"other", "/", 0, std::nullopt});
@@ -66,7 +66,7 @@
   CHECK_TRUE(*receiver.take(delta, &held).value() == next);
 }
 
-TEST(DocumentReceiverTest, aDeltaForAnotherBaseIsRefusedAndForgotten) {
+TEST(DocumentReceiverTest, aDeltaForAnotherBaseIsRefusedAndDropped) {
   const std::string bytes = catalog::packDelta(catalog::makeDelta(document(4), document(6)));
   registry::DocumentPart delta = part(bytes, 6, 0, bytes.size());
   delta.baseVersion = 4;
--- a/test/gateway/event_stream_test.cpp
+++ b/test/gateway/event_stream_test.cpp
@@ -9,7 +9,7 @@
 
 TEST_GROUP(EventStreamTest) { EventStream stream; };
 
-TEST(EventStreamTest, eventsLeaveWholeHoweverTheyAreCut) {
+TEST(EventStreamTest, eventsArePassedOnWholeForAnyFragmentation) {
   const std::string text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
   for (std::size_t size = 1; size <= text.size(); ++size) {
     EventStream cut;
@@ -23,7 +23,7 @@
   }
 }
 
-TEST(EventStreamTest, aBegunEventStaysBack) {
+TEST(EventStreamTest, anIncompleteEventIsHeldBack) {
   STRCMP_EQUAL("id: 1\n\n", stream.feed("id: 1\n\nid: 2\nda").c_str());
   CHECK_TRUE(stream.hasPartialEvent());
   stream.restart();
@@ -31,12 +31,12 @@
   STRCMP_EQUAL("1", stream.lastId().c_str());
 }
 
-TEST(EventStreamTest, eventsThatTheCallerHasArePassedOver) {
+TEST(EventStreamTest, eventsThatTheCallerHasAreSkipped) {
   stream.skipUpTo(2);
   STRCMP_EQUAL("id: 3\n\n", stream.feed("id: 1\n\nid: 2\n\nid: 3\n\n").c_str());
 }
 
-TEST(EventStreamTest, linesMayEndWithReturns) {
+TEST(EventStreamTest, linesMayEndWithCarriageReturns) {
   STRCMP_EQUAL("id: 7\r\ndata: x\r\n\r\n", stream.feed("id: 7\r\ndata: x\r\n\r\n").c_str());
   STRCMP_EQUAL("7", stream.lastId().c_str());
 }
--- a/test/gateway/exchange_test.cpp
+++ b/test/gateway/exchange_test.cpp
@@ -41,7 +41,7 @@
   }
 };
 
-TEST(ExchangeTest, withoutADocumentNothingIsRefusedForGood) {
+TEST(ExchangeTest, aRefusalWithoutADocumentIsRetryable) {
   const auto caller = harness.request("safe", "r1");
   CHECK_EQUAL(0, caller->status);
   harness.scheduler.advance(2s);
@@ -49,7 +49,7 @@
   CHECK(caller->headers.find("Retry-After") != nullptr);
 }
 
-TEST(ExchangeTest, aRequestThatCameBeforeTheDocumentIsRoutedWithWhatIsLeftOfItsTime) {
+TEST(ExchangeTest, aRequestQueuedBeforeTheFirstDocumentKeepsItsRemainingDeadline) {
   const auto caller = harness.request("safe", "r1");
   const auto left = harness.request("safe", "r2");
   left->gone();
@@ -64,7 +64,7 @@
   CHECK_EQUAL(404, harness.request("none", "r1")->status);
 }
 
-TEST(ExchangeTest, theAnswerIsPassedOnUnchanged) {
+TEST(ExchangeTest, theResponseIsForwardedUnchanged) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   CHECK_EQUAL(1, sentCount());
@@ -75,7 +75,7 @@
   STRCMP_EQUAL("teapot", caller->body.c_str());
 }
 
-TEST(ExchangeTest, whatIsLeftOfTheDeadlineIsSaid) {
+TEST(ExchangeTest, theRemainingDeadlineIsSentToTheWorker) {
   harness.declare(2);
   const auto caller = harness.request("safe", "r1");
   harness.scheduler.advance(2s);
@@ -83,7 +83,7 @@
   STRCMP_EQUAL("3000", sent(1).request.headers.find("Deadline-Ms")->c_str());
 }
 
-TEST(ExchangeTest, anAnswerToAnotherRequestIsPassedOver) {
+TEST(ExchangeTest, aResponseToAnotherRequestIsIgnored) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   CHECK_FALSE(harness.head(sent(0), 200, "r0", true));
@@ -91,7 +91,7 @@
   STRCMP_EQUAL("mine", caller->body.c_str());
 }
 
-TEST(ExchangeTest, anAnswerThatNobodyVouchesForIsNotPassedOn) {
+TEST(ExchangeTest, anUnsealedResponseIsNotForwarded) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   harness.head(sent(0), 200, "r1", false);
@@ -99,7 +99,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(ExchangeTest, aRequestThatMayHaveRunIsNotRunAgain) {
+TEST(ExchangeTest, aNonRepeatableRequestThatMayHaveRunIsNotRetried) {
   harness.declare(2);
   const auto caller = harness.request("once", "r1");
   harness.lose(sent(0));
@@ -107,7 +107,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(ExchangeTest, aRequestThatDidNotRunIsSentElsewhere) {
+TEST(ExchangeTest, aRequestThatDidNotRunIsSentToAnotherWorker) {
   harness.declare(2);
   const auto caller = harness.request("once", "r1");
   harness.refuse(sent(0), 503, "r1");
@@ -127,7 +127,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(ExchangeTest, aWorkersOwnFailureIsTheAnswerWhenNoAttemptIsLeft) {
+TEST(ExchangeTest, theLastWorkersErrorIsForwardedWhenNoAttemptIsLeft) {
   harness.declare(3);
   const auto caller = harness.request("safe", "r1");
   harness.answer(sent(0), 500, "r1", "first");
@@ -136,7 +136,7 @@
   STRCMP_EQUAL("second", caller->body.c_str());
 }
 
-TEST(ExchangeTest, theTimeoutIsAnsweredAtOnce) {
+TEST(ExchangeTest, theDeadlineCancelsTheAttemptAndIsAnswered) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   harness.scheduler.advance(4999ms);
@@ -146,7 +146,7 @@
   CHECK_TRUE(sent(0).cancelled);
 }
 
-TEST(ExchangeTest, withoutWorkersARefusalPromisesThatNothingRan) {
+TEST(ExchangeTest, aRefusalWithoutWorkersIsRetryable) {
   harness.declare(0);
   const auto caller = harness.request("once", "r1");
   CHECK_EQUAL(0, caller->status);
@@ -155,7 +155,7 @@
   CHECK(caller->headers.find("Retry-After") != nullptr);
 }
 
-TEST(ExchangeTest, aCallerThatLeavesEndsItsAttempt) {
+TEST(ExchangeTest, aDisconnectedCallersAttemptIsCancelled) {
   harness.declare(1);
   const auto caller = harness.request("stream", "r1");
   caller->gone();
@@ -164,7 +164,7 @@
   CHECK_EQUAL(0, harness.gateway.exchangeCount());
 }
 
-TEST(ExchangeTest, aBrokenStreamGoesOnElsewhereAfterItsLastEvent) {
+TEST(ExchangeTest, aBrokenStreamResumesAtAnotherWorkerAfterItsLastEvent) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   harness.head(sent(0), 200, "r1", true);
@@ -179,7 +179,7 @@
   CHECK_TRUE(caller->complete);
 }
 
-TEST(ExchangeTest, aBrokenStreamThatMayNotBeResumedDoesNotLookComplete) {
+TEST(ExchangeTest, aBrokenNonResumableStreamIsAborted) {
   harness.declare(2);
   const auto caller = harness.request("bound", "r1");
   harness.head(sent(0), 200, "r1", true);
@@ -190,7 +190,7 @@
   CHECK_FALSE(caller->complete);
 }
 
-TEST(ExchangeTest, aStreamThatEndsWithinAnEventIsNotComplete) {
+TEST(ExchangeTest, aStreamThatEndsWithinAnEventIsAborted) {
   harness.declare(1);
   const auto caller = harness.request("bound", "r1");
   harness.head(sent(0), 200, "r1", true);
@@ -199,7 +199,7 @@
   CHECK_TRUE(caller->aborted);
 }
 
-TEST(ExchangeTest, aSilentWorkerLosesAStreamThatMayBeResumed) {
+TEST(ExchangeTest, aResumableStreamLeavesAnUnresponsiveWorker) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   harness.scheduler.advance(2s);
@@ -219,7 +219,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(ExchangeTest, aWorkerThatLacksTheModelIsNotAskedAgainAtOnce) {
+TEST(ExchangeTest, aWorkerThatDeniedHoldingTheModelIsNotRetriedAtOnce) {
   harness.declare(1);
   registry::ViewUpdate update;
   update.changed.push_back(GatewayHarness::worker(1));
@@ -234,13 +234,13 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-TEST(ExchangeTest, anOlderDocumentIsNeverTaken) {
+TEST(ExchangeTest, anOlderDocumentIsIgnored) {
   harness.declare(1, 5);
   harness.declare(1, 4);
   CHECK_EQUAL(5, harness.gateway.documentVersion());
 }
 
-TEST(ExchangeTest, aLeavingWorkerGetsNothingNew) {
+TEST(ExchangeTest, aLeavingWorkerGetsNoNewRequests) {
   harness.declare(2);
   registry::ViewUpdate update;
   update.changed.push_back(GatewayHarness::worker(1));
@@ -265,7 +265,7 @@
   CHECK_EQUAL(503, harness.request("once", "r3")->status);
 }
 
-TEST(ExchangeTest, aRequestThatWaitsIsRefusedWhenTheProcessIsAboutToEnd) {
+TEST(ExchangeTest, aWaitingRequestIsRefusedAtShutdown) {
   harness.declare(1);
   const auto waiting = harness.request("stream", "r1", "m");
   const auto running = harness.request("once", "r2");
@@ -279,7 +279,7 @@
 }
 
 /// The process would end before its document came, and cut the connection without an answer.
-TEST(ExchangeTest, aRequestThatWaitsForTheFirstDocumentIsRefusedWhenTheProcessIsAboutToEnd) {
+TEST(ExchangeTest, aRequestWaitingForTheFirstDocumentIsRefusedAtShutdown) {
   const auto waiting = harness.request("once", "r1");
   harness.gateway.refuseAll();
   CHECK_EQUAL(503, waiting->status);
@@ -287,7 +287,7 @@
   CHECK_EQUAL(503, harness.request("once", "r2")->status);
 }
 
-TEST(ExchangeTest, aWorkerWhoseStreamsPauseIsPassedOver) {
+TEST(ExchangeTest, aWorkerWithPausingStreamsIsAvoided) {
   harness.declare(2);
   const auto paused = harness.request("stream", "r1");
   harness.scheduler.advance(50ms);
@@ -301,7 +301,7 @@
   CHECK_TRUE(sent(1).worker.id.value != sent(0).worker.id.value);
 }
 
-TEST(ExchangeTest, theRetryBudgetHoldsForAllRequestsTogether) {
+TEST(ExchangeTest, theRetryBudgetLimitsAllRequestsTogether) {
   harness.declare(3);
   std::vector<std::unique_ptr<Caller>> callers;
   for (int number = 0; number < 500; ++number) {
@@ -316,7 +316,7 @@
 
 /// Seen on muisti-prod-large: streams that waited in the queue of a full worker were given up there
 /// and ended as failures, as no retry was left.
-TEST(ExchangeTest, aSilentWorkerKeepsItsStreamIfNoRetryIsLeft) {
+TEST(ExchangeTest, anUnresponsiveWorkerKeepsItsStreamIfNoRetryIsLeft) {
   harness.declare(2);
   std::vector<std::unique_ptr<Caller>> callers;
   for (int number = 0; number < 200; ++number) {
@@ -331,7 +331,7 @@
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(ExchangeTest, aSilentWorkerKeepsItsStreamIfTheOthersAreFull) {
+TEST(ExchangeTest, anUnresponsiveWorkerKeepsItsStreamIfTheOthersAreFull) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   announceLoads({9, 9});
@@ -353,7 +353,7 @@
   CHECK(caller->headers.find("Retry-After") != nullptr);
 }
 
-TEST(ExchangeTest, aStreamThatBeginsInTimeWaitsAtAFullWorker) {
+TEST(ExchangeTest, aStreamThatBeginsInTimeIsQueuedAtAFullWorker) {
   harness.declare(2);
   completeStream("r0");
   announceLoads({9, 4});
@@ -362,7 +362,7 @@
   STRCMP_EQUAL("w2", sent(0).worker.id.value.c_str());
 }
 
-TEST(ExchangeTest, aStreamThatHasBegunIsNotRefusedForItsQueue) {
+TEST(ExchangeTest, aBegunStreamIsNotRefusedForItsQueueingTime) {
   harness.declare(2);
   completeStream("r0");
   const auto caller = harness.request("stream", "r1");
@@ -374,7 +374,7 @@
   CHECK_FALSE(caller->aborted);
 }
 
-TEST(ExchangeTest, aWorkerThatSaysItIsFullIsBelieved) {
+TEST(ExchangeTest, aReportedFullQueueCountsUntilTheNextView) {
   harness.declare(1);
   completeStream("r0");
   announceLoads({4});
@@ -389,7 +389,7 @@
 }
 
 /// Open connections may go silent for good, without a reset, while new ones work.
-TEST(ExchangeTest, afterASilentConnectionIdleOnesToThatWorkerAreNotUsed) {
+TEST(ExchangeTest, anUnresponsiveConnectionClosesIdleOnesToTheSameWorker) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   harness.scheduler.advance(5s);
@@ -398,7 +398,7 @@
   STRCMP_EQUAL("w1", harness.launcher.forgotten[0].value.c_str());
 }
 
-TEST(ExchangeTest, aStreamThatLeavesASilentWorkerLeavesItsIdleConnectionsToo) {
+TEST(ExchangeTest, aStreamThatLeavesAnUnresponsiveWorkerClosesItsIdleConnections) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   harness.scheduler.advance(2s);
--- a/test/gateway/failing_worker_test.cpp
+++ b/test/gateway/failing_worker_test.cpp
@@ -46,7 +46,7 @@
   }
 };
 
-TEST(FailingWorkerTest, whatBecomesOfAttemptsIsTold) {
+TEST(FailingWorkerTest, outcomesOfAttemptsAreReported) {
   harness.declare(1);
   harness.follow();
   const auto good = harness.request("once", "r1");
@@ -60,7 +60,7 @@
   checkOutcomes(0, 1);
 }
 
-TEST(FailingWorkerTest, anAnswerThatBlamesTheRequestSpeaksForTheWorker) {
+TEST(FailingWorkerTest, aClientErrorCountsAsAnswered) {
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("once", "r1");
@@ -68,7 +68,7 @@
   checkOutcomes(1, 0);
 }
 
-TEST(FailingWorkerTest, aRequestThatWasNotRunSaysNothingOfTheWorker) {
+TEST(FailingWorkerTest, aRequestThatWasNotRunHasNoOutcome) {
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("once", "r1");
@@ -76,7 +76,7 @@
   checkOutcomes(0, 0);
 }
 
-TEST(FailingWorkerTest, aStreamCountsOnceItHasBegunAndAgainIfItIsCut) {
+TEST(FailingWorkerTest, aStreamCountsAsAnsweredOnceBegunAndAsFailedIfCut) {
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("bound", "r1");
@@ -89,7 +89,7 @@
   checkOutcomes(0, 1);
 }
 
-TEST(FailingWorkerTest, aWorkerThatIsSilentUntilItsCallerLeavesHasFailed) {
+TEST(FailingWorkerTest, aWorkerUnresponsiveUntilItsCallerDisconnectsHasFailed) {
   harness.declare(1);
   harness.follow();
   const auto patient = harness.request("bound", "r1");
@@ -115,7 +115,7 @@
 }
 
 /// What cuts a gateway off from the leader may cut it off from sound workers too.
-TEST(FailingWorkerTest, outcomesThatNoLeaderHeardAreNotToldLater) {
+TEST(FailingWorkerTest, outcomesWithoutALeaderAreNotReportedLater) {
   harness.declare(1);
   harness.follow();
   harness.scheduler.advance(2s);  // Nothing is heard of the leader.
@@ -138,7 +138,7 @@
   }
 }
 
-TEST(FailingWorkerTest, aModelThatOnlyAFailingWorkerHoldsIsWaitedFor) {
+TEST(FailingWorkerTest, aRequestWaitsForAReplicaIfOnlyAFailingWorkerHoldsItsModel) {
   harness.declare(2);
   harness.follow();
   announceWorker(1, true);
@@ -152,7 +152,7 @@
   STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
 }
 
-TEST(FailingWorkerTest, ifNoOtherReplicaComesTheFailingWorkerIsBetterThanNone) {
+TEST(FailingWorkerTest, withoutAnotherReplicaTheFailingWorkerIsUsed) {
   harness.declare(1);
   harness.follow();
   announceWorker(1, true);
@@ -165,14 +165,14 @@
   CHECK_EQUAL(200, caller->status);
 }
 
-TEST(FailingWorkerTest, withoutALeaderNobodyLoadsAnotherReplicaAndNothingIsWaitedFor) {
+TEST(FailingWorkerTest, withoutALeaderAFailingWorkerIsUsedAtOnce) {
   harness.declare(1);
   announceWorker(1, true);
   const auto caller = harness.request("safe", "r1", "m");
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(FailingWorkerTest, aPlainServiceHasNoOtherReplicaToWaitFor) {
+TEST(FailingWorkerTest, aPlainServiceUsesAFailingWorkerAtOnce) {
   harness.declare(2);
   harness.follow();
   announceWorker(1, true);
@@ -184,7 +184,7 @@
   STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
 }
 
-TEST(FailingWorkerTest, anUpdateWithoutHoldingsTellsThatAWorkerFailsTheSame) {
+TEST(FailingWorkerTest, anUpdateWithoutHoldingsMarksAWorkerAsFailing) {
   harness.declare(2);
   harness.follow();
   registry::ViewUpdate update;
--- a/test/gateway/key_admission_test.cpp
+++ b/test/gateway/key_admission_test.cpp
@@ -77,7 +77,7 @@
   const net::HttpRequest& lastSent() { return harness.launcher.sent.back()->request; }
 };
 
-TEST(KeyAdmissionTest, aWorkerIsToldTheTenantAndNeverTheKey) {
+TEST(KeyAdmissionTest, aWorkerGetsTheTenantAndNeverTheKey) {
   begin();
   const auto caller = request("safe", "r1", "k1");
   CHECK_EQUAL(1, sentCount());
@@ -85,7 +85,7 @@
   POINTERS_EQUAL(nullptr, lastSent().headers.find("Key"));
 }
 
-TEST(KeyAdmissionTest, anOpenRouteNeedsNoKeyAndTellsNoTenant) {
+TEST(KeyAdmissionTest, anOpenRouteNeedsNoKeyAndSendsNoTenant) {
   begin();
   const auto caller = request("free", "r1", "k1");
   CHECK_EQUAL(1, sentCount());
@@ -93,7 +93,7 @@
   POINTERS_EQUAL(nullptr, lastSent().headers.find("Tenant"));
 }
 
-TEST(KeyAdmissionTest, aKeyThatIsNobodysIsRefused) {
+TEST(KeyAdmissionTest, anUnknownKeyIsRefused) {
   begin();
   CHECK_EQUAL(401, request("safe", "r1", "k3")->status);
   CHECK_EQUAL(401, request("safe", "r2", "")->status);
@@ -101,7 +101,7 @@
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(KeyAdmissionTest, noLineOfTheLogHasAKey) {
+TEST(KeyAdmissionTest, keysAreNeverLogged) {
   begin();
   const auto known = request("safe", "r1", "k1");
   const auto unknown = request("safe", "r2", "k3");
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(KeyAdmissionTest, withoutAConfirmedDocumentNothingIsLetThrough) {
+TEST(KeyAdmissionTest, withoutAConfirmedDocumentNothingIsAdmitted) {
   harness.follow();
   declareBoth();
   const auto waits = request("safe", "r1", "k1");
@@ -127,7 +127,7 @@
 }
 
 /// 503 and never 401: the gateway can't know.
-TEST(KeyAdmissionTest, aLeaseThatHasEndedRefusesAllThatNeedAKey) {
+TEST(KeyAdmissionTest, anExpiredLeaseRefusesAllRequestsThatNeedAKey) {
   begin();
   harness.scheduler.advance(4499ms);
   CHECK_EQUAL(503, request("safe", "r1", "k3")->status);
@@ -143,7 +143,7 @@
 }
 
 /// The answer may be seconds late: it is as old as its question.
-TEST(KeyAdmissionTest, theLeaseCountsFromTheQuestion) {
+TEST(KeyAdmissionTest, theLeaseCountsFromItsRequest) {
   harness.follow();
   declareBoth();
   const std::uint64_t confirmSequence = harness.link.confirmRequests.front().sequence;
@@ -153,7 +153,7 @@
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
 }
 
-TEST(KeyAdmissionTest, afterASuspensionTheLeaseIsJudgedByTheTimeThatWasSlept) {
+TEST(KeyAdmissionTest, theLeaseExpiresDuringASuspension) {
   begin();
   harness.scheduler.suspendFor(5s);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
@@ -167,7 +167,7 @@
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(KeyAdmissionTest, aConfirmationOfANewerDocumentCountsOnceThatIsHeld) {
+TEST(KeyAdmissionTest, aConfirmationOfANewerDocumentCountsOnceItIsHeld) {
   begin();
   harness.scheduler.suspendFor(4s);
   harness.gateway.leaderFollowed(false);
@@ -181,7 +181,7 @@
 }
 
 /// A newer document may have the key.
-TEST(KeyAdmissionTest, aGatewayThatIsBehindRefusesNoKeyAsUnknown) {
+TEST(KeyAdmissionTest, aGatewayWithAnOutdatedDocumentRefusesNoKeyAsUnknown) {
   begin();
   registry::ViewUpdate update;
   update.documentVersion = 2;
@@ -191,7 +191,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(KeyAdmissionTest, aDocumentThatNeedsNoKeysAsksNobody) {
+TEST(KeyAdmissionTest, aDocumentWithoutKeysNeedsNoConfirmation) {
   harness.follow();
   harness.declare(1);
   harness.advanceFollowing(3s);
@@ -199,7 +199,7 @@
   CHECK(harness.link.quotas.empty());
 }
 
-TEST(KeyAdmissionTest, theTenantsPriorityGoesBeforeTheRoutes) {
+TEST(KeyAdmissionTest, theTenantsPriorityOverridesTheRoutes) {
   harness.follow();
   declareBoth();
   confirm(1);
@@ -233,7 +233,7 @@
 }
 ;
 
-TEST(QuotaAdmissionTest, aRequestWaitsForItsGrantAndIsSentWithIt) {
+TEST(QuotaAdmissionTest, aRequestIsSentOnceItsQuotaIsGranted) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1", "50");
   CHECK_EQUAL(0, sentCount());
@@ -242,7 +242,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, whatIsHeldPaysWithoutAsking) {
+TEST(QuotaAdmissionTest, heldQuotaIsUsedWithoutAskingTheLeader) {
   const auto first = spendAndHold();
   const std::size_t requestCount = harness.link.quotas.size();
   const auto second = request("safe", "r2", "k1", "50");
@@ -250,13 +250,13 @@
   CHECK_EQUAL(requestCount, harness.link.quotas.size());
 }
 
-TEST(QuotaAdmissionTest, aRequestWithoutACountOfTokensCountsAsAPlainOne) {
+TEST(QuotaAdmissionTest, aRequestWithoutATokenCountCostsTheDefault) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1");
   DOUBLES_EQUAL(20, harness.link.quotas.back().claims.at(0).needed, 0.1);
 }
 
-TEST(QuotaAdmissionTest, whatIsOverTheQuotaIsRefusedAtOnceWithWhenToComeBack) {
+TEST(QuotaAdmissionTest, aRequestOverQuotaIsRefusedWithRetryAfter) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
   grant(50);
@@ -268,7 +268,7 @@
 }
 
 /// The leader did not know of it when it answered.
-TEST(QuotaAdmissionTest, aRequestThatCameAfterTheQuestionWaitsForTheNextAnswer) {
+TEST(QuotaAdmissionTest, aRequestNotCoveredByAGrantWaitsForTheNextOne) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
   const std::uint64_t sequence = harness.link.quotas.back().sequence;
@@ -281,7 +281,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, withoutAnAnswerItIsNotSaidToBeOver) {
+TEST(QuotaAdmissionTest, withoutAGrantTheRefusalIsNotForExceedingTheQuota) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1", "50");
   harness.advanceFollowing(600ms);
@@ -289,7 +289,7 @@
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(QuotaAdmissionTest, whatIsHeldEndsWithItsLease) {
+TEST(QuotaAdmissionTest, heldQuotaExpiresWithItsLease) {
   const auto first = spendAndHold();
   harness.scheduler.suspendFor(registry::kQuotaLease);
   const auto second = request("safe", "r2", "k1", "50");
@@ -297,14 +297,14 @@
 }
 
 /// The lease on keys outlasts that on what is held.
-TEST(QuotaAdmissionTest, whatIsHeldIsJudgedByTheClockReadAfterTheRequestHasCome) {
+TEST(QuotaAdmissionTest, heldQuotaExpiresByTheClockReadAfterTheRequestHasCome) {
   const auto first = spendAndHold();
   harness.scheduler.suspendWithinIteration(registry::kQuotaLease);
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, aRequestThatDidNotRunIsGivenBack) {
+TEST(QuotaAdmissionTest, theCostOfARequestThatDidNotRunIsRefunded) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
   grant(50);
@@ -318,7 +318,7 @@
   CHECK_EQUAL(sent + 1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, aCallerThatLeavesIsNotWaitedFor) {
+TEST(QuotaAdmissionTest, aDisconnectedCallersRequestIsNotSent) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1", "50");
   caller->gone();
--- a/test/gateway/late_model_test.cpp
+++ b/test/gateway/late_model_test.cpp
@@ -25,54 +25,54 @@
   }
 };
 
-TEST(LateModelTest, aCallerThatWouldWaitInVainIsToldAtOnceWhenToComeBack) {
+TEST(LateModelTest, aRequestForALateModelIsRefusedWithRetryAfter) {
   announceLateModel(18s);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(503, caller->status);
   STRCMP_EQUAL("18.00", caller->headers.find("Retry-After")->c_str());
 }
 
-TEST(LateModelTest, oneThatWaitsAlreadyIsTold) {
+TEST(LateModelTest, aWaitingRequestIsRefusedOnceItsModelIsLate) {
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
   announceLateModel(18s);
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(LateModelTest, aModelThatComesInTimeIsWaitedFor) {
+TEST(LateModelTest, aRequestWaitsForAModelThatIsInTime) {
   announceLateModel(2s);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, anotherModelIsWaitedFor) {
+TEST(LateModelTest, aRequestForAnotherModelWaits) {
   announceLateModel(18s);
   const auto caller = harness.request("bound", "r1", "other");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, theLeadersWordCountsForSecondsOnly) {
+TEST(LateModelTest, theAnnouncementExpires) {
   announceLateModel(18s);
   harness.advanceFollowing(registry::kLateModelsLast);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, afterASuspensionTheWordIsAsOldAsItIs) {
+TEST(LateModelTest, theAnnouncementExpiresDuringASuspension) {
   announceLateModel(18s);
   harness.scheduler.suspendFor(registry::kLateModelsLast);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, theNextWordReplacesIt) {
+TEST(LateModelTest, theNextAnnouncementReplacesTheLast) {
   announceLateModel(18s);
   harness.gateway.lateModelsReceived({});
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, aModelThatSomebodyServesIsUsedWhateverIsExpected) {
+TEST(LateModelTest, aServedModelIsUsedDespiteTheAnnouncement) {
   announceLateModel(18s);
   registry::ViewUpdate update;
   update.changed = {GatewayHarness::worker(1)};
--- a/test/gateway/limited_worker_test.cpp
+++ b/test/gateway/limited_worker_test.cpp
@@ -78,7 +78,7 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-TEST(LimitedWorkerTest, whatTheLimitLeavesNoRoomForIsRefusedAtOnce) {
+TEST(LimitedWorkerTest, aRequestOverTheLimitIsRefusedWithRetryAfter) {
   begin();
   limit("1");
   const auto caller = request();
@@ -110,7 +110,7 @@
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(LimitedWorkerTest, otherWorkersServeWhatALimitedOneHasNoRoomFor) {
+TEST(LimitedWorkerTest, otherWorkersServeRequestsOverTheLimit) {
   begin(2);
   limit("1");
   const registry::WorkerId limited = lastSent().worker.id;
@@ -168,7 +168,7 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-TEST(LimitedWorkerTest, theLeadersWordEndsALimit) {
+TEST(LimitedWorkerTest, theLeaderEndsALimit) {
   begin();
   limit("1");
   announceLimit(1);
@@ -186,7 +186,7 @@
 }
 
 /// A view that was sent before the leader heard of the limit ends nothing.
-TEST(LimitedWorkerTest, aLeaderThatHasNotHeardOfALimitDoesNotEndIt) {
+TEST(LimitedWorkerTest, aLeaderThatDoesNotKnowALimitYetDoesNotEndIt) {
   begin();
   limit("1");
   announceLimit(std::nullopt);
@@ -194,7 +194,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(LimitedWorkerTest, aLeaderThatKnowsOfNoLimitGrantsAll) {
+TEST(LimitedWorkerTest, aLeadersGrantEndsALimitUnknownToIt) {
   begin();
   limit("1");
   const auto caller = request();
@@ -206,7 +206,7 @@
   CHECK_EQUAL(3, sentCount());
 }
 
-TEST(LimitedWorkerTest, aRejectionNamesALimitAndEndsNone) {
+TEST(LimitedWorkerTest, aRejectionCanAnnounceALimitButNotEndOne) {
   begin();
   const auto caller = request();
   answer(lastSent(), "1", false, 503);
@@ -217,14 +217,14 @@
   CHECK_EQUAL(1, harness.link.limits.size());
 }
 
-TEST(LimitedWorkerTest, aFailureOfTheWorkerNamesALimitToo) {
+TEST(LimitedWorkerTest, aServerErrorCanAnnounceALimit) {
   begin();
   const auto caller = request("once");
   answer(lastSent(), "2", true, 500);
   CHECK_EQUAL(1, harness.link.limits.size());
 }
 
-TEST(LimitedWorkerTest, theLowerOfTwoLimitsThatCrossedHolds) {
+TEST(LimitedWorkerTest, theLowerOfTwoConcurrentLimitsIsUsed) {
   begin();
   const auto first = request();
   const auto second = request();
@@ -235,7 +235,7 @@
   DOUBLES_EQUAL(1, *harness.link.limits[0].perSecond, 0.001);
 }
 
-TEST(LimitedWorkerTest, whatCantBeReadIsLoggedOnceAndNothingIsGuessed) {
+TEST(LimitedWorkerTest, anUnreadableLimitIsLoggedOnceAndIgnored) {
   begin();
   limit("bad");
   limit("bad");
@@ -253,7 +253,7 @@
 }
 
 /// It begins without a limit, whatever the life before it named.
-TEST(LimitedWorkerTest, aLimitEndsWithTheLifeOfItsWorker) {
+TEST(LimitedWorkerTest, aLimitEndsWithTheIncarnationOfItsWorker) {
   begin();
   limit("1");
   registry::ViewUpdate update;
@@ -266,7 +266,7 @@
 
 // Leaders
 
-TEST(LimitedWorkerTest, anotherLeaderIsToldOfTheLimitBeforeItIsAsked) {
+TEST(LimitedWorkerTest, aNewLeaderGetsTheLimitBeforeShareRequests) {
   begin();
   limit("1");
   harness.scheduler.advance(200ms);
@@ -283,7 +283,7 @@
 }
 
 /// 16 gateways together send 0.4 of the limit.
-TEST(LimitedWorkerTest, withoutALeaderLittleIsSent) {
+TEST(LimitedWorkerTest, withoutALeaderAFractionOfTheLimitIsSent) {
   begin();
   registry::ViewUpdate update;
   update.gateways = 16;
@@ -308,7 +308,7 @@
   CHECK_EQUAL(2000, refused + served);
 }
 
-TEST(LimitedWorkerTest, aLeaderOfAnEarlierBuildIsNotAsked) {
+TEST(LimitedWorkerTest, aLeaderWithoutTheFeatureGetsNoShareRequests) {
   harness.featureLevel = registry::feature::kHeartbeatBatches;
   begin();
   limit("1");
@@ -320,7 +320,7 @@
 }
 
 /// The machine stood still between the turn of the loop and the request.
-TEST(LimitedWorkerTest, aShareThatEndedWhileTheMachineWasSuspendedIsNotUsed) {
+TEST(LimitedWorkerTest, aShareThatExpiredDuringASuspensionIsNotUsed) {
   begin();
   limit("1");
   const auto caller = request();
@@ -333,7 +333,7 @@
 
 TEST_GROUP(UnsharedRateTest){};
 
-TEST(UnsharedRateTest, oneIsAllowedEachPeriod) {
+TEST(UnsharedRateTest, oneRequestIsPermittedEachPeriod) {
   base::TimePoint now(100s);
   UnsharedRate rate(10s, 0.5, now);
   CHECK_FALSE(rate.allows(now + 4900ms));
@@ -343,7 +343,7 @@
   CHECK_TRUE(rate.allows(now + 15s));
 }
 
-TEST(UnsharedRateTest, whatIsNotUsedSoonIsLost) {
+TEST(UnsharedRateTest, unusedPermitsExpire) {
   base::TimePoint now(100s);
   UnsharedRate rate(10s, 0.5, now);
   CHECK_FALSE(rate.allows(now + 5s + UnsharedRate::kUsableFor + 1ms));
--- a/test/gateway/registry_follower_test.cpp
+++ b/test/gateway/registry_follower_test.cpp
@@ -86,7 +86,7 @@
   }
 };
 
-TEST(RegistryFollowerTest, aDocumentOfTheLeaderIsTakenAndAcknowledged) {
+TEST(RegistryFollowerTest, aDocumentFromTheLeaderIsAppliedAndAcknowledged) {
   connect();
   receiveView(4);
   CHECK_FALSE(gateway.ready());
@@ -97,7 +97,7 @@
 }
 
 /// A restarted gateway, before it has found a leader.
-TEST(RegistryFollowerTest, aServerThatIsNotFollowedIsNotBelieved) {
+TEST(RegistryFollowerTest, messagesOfServersNotFollowedAreIgnored) {
   connect();
   receive(connection, whole(4));
   CHECK_EQUAL(0, gateway.documentVersion());
@@ -106,7 +106,7 @@
   CHECK_EQUAL(0, gateway.documentVersion());
 }
 
-TEST(RegistryFollowerTest, anOlderDocumentIsNotTaken) {
+TEST(RegistryFollowerTest, anOlderDocumentIsIgnored) {
   connect();
   receiveView(5);
   receive(connection, whole(5));
@@ -115,7 +115,7 @@
 }
 
 /// A link that breaks in the middle of a document, or a leader that changes then.
-TEST(RegistryFollowerTest, theNextServerIsToldHowFarTheDocumentHasCome) {
+TEST(RegistryFollowerTest, theNextSubscriptionResumesTheDocument) {
   connect();
   receiveView(4);
   receive(connection, part(4, 0, 10));
@@ -131,7 +131,7 @@
   CHECK_EQUAL(4, gateway.documentVersion());
 }
 
-TEST(RegistryFollowerTest, aDocumentThatCantBeTakenIsAskedForAsAWhole) {
+TEST(RegistryFollowerTest, aRefusedDeltaIsReplacedByTheWholeDocument) {
   connect();
   receiveView(4);
   receive(connection, whole(4));
@@ -145,7 +145,7 @@
   CHECK_EQUAL(0, sent<registry::Subscribe>().back().documentVersion);
 }
 
-TEST(RegistryFollowerTest, aNewerDocumentThatDoesNotComeIsAskedForAgain) {
+TEST(RegistryFollowerTest, aMissingNewerDocumentCausesANewSubscription) {
   connect();
   receiveView(4);
   for (int view = 0; view < 7; ++view) {
@@ -156,7 +156,7 @@
   CHECK_FALSE(session.following());
 }
 
-TEST(RegistryFollowerTest, aDocumentThatComesSlowlyIsNotAskedForAgain) {
+TEST(RegistryFollowerTest, aSlowDocumentCausesNoNewSubscription) {
   connect();
   receiveView(4);
   for (std::size_t offset = 0; offset < 12; offset += 2) {
@@ -167,7 +167,7 @@
   CHECK_EQUAL(0, link.closes);
 }
 
-TEST(RegistryFollowerTest, aPackedViewOfTheFollowedServerIsTaken) {
+TEST(RegistryFollowerTest, aPackedViewOfTheCurrentServerIsApplied) {
   connect();
   registry::ViewUpdate view;
   view.complete = true;
@@ -182,7 +182,7 @@
 }
 
 /// Names of a view refer to those before it: after one that can't be read none is believed.
-TEST(RegistryFollowerTest, aPackedViewThatCantBeReadIsAskedForAnew) {
+TEST(RegistryFollowerTest, anUnreadablePackedViewCausesANewSubscription) {
   connect();
   receiveView(1);
   const std::size_t closes = link.closes;
--- a/test/gateway/registry_session_test.cpp
+++ b/test/gateway/registry_session_test.cpp
@@ -72,14 +72,14 @@
   CHECK_TRUE(session->following());
 }
 
-TEST(RegistrySessionTest, theNamedLeaderIsAskedNext) {
+TEST(RegistrySessionTest, theNamedLeaderIsContactedNext) {
   accept(1);
   session->notLeading({1}, {{server(8), server(9)}, server(9)});
   scheduler.advance(1ms);
   CHECK_TRUE(link.opens.back() == server(9));
 }
 
-TEST(RegistrySessionTest, aSilentLeaderIsLeft) {
+TEST(RegistrySessionTest, anUnresponsiveLeaderIsAbandoned) {
   follow(1);
   scheduler.advance(800ms);
   CHECK_TRUE(session->viewReceived({1}, {}));
@@ -91,7 +91,7 @@
   CHECK_EQUAL(2, link.opens.size());
 }
 
-TEST(RegistrySessionTest, viewsOfAFormerServerAreNotTaken) {
+TEST(RegistrySessionTest, viewsOfAPreviousConnectionAreIgnored) {
   follow(1);
   session->closed({1});
   scheduler.advance(100ms);
@@ -100,7 +100,7 @@
 }
 
 /// While nobody leads, gateways must not take the servers' time from the election.
-TEST(RegistrySessionTest, roundsWithoutALeaderAreSpacedFurtherAndFurther) {
+TEST(RegistrySessionTest, searchRoundsWithoutALeaderBackOff) {
   std::vector<std::size_t> opensBySecond;
   for (int second = 0; second < 4; ++second) {
     const std::size_t before = link.opens.size();
@@ -114,7 +114,7 @@
   CHECK_TRUE(opensBySecond.back() <= 6);
 }
 
-TEST(RegistrySessionTest, onceALeaderWasFollowedTheSearchIsQuickAgain) {
+TEST(RegistrySessionTest, followingALeaderResetsTheBackoff) {
   for (int attempt = 0; attempt < 20; ++attempt) {
     session->openFailed(link.opens.back());
     scheduler.advance(options.retryPauseMax);
@@ -127,7 +127,7 @@
 }
 
 /// A long document on a slow link is no silence.
-TEST(RegistrySessionTest, partsOfADocumentShowThatTheLeaderIsThere) {
+TEST(RegistrySessionTest, partsOfADocumentCountAsSignsOfLife) {
   follow(1);
   for (int part = 0; part < 5; ++part) {
     scheduler.advance(800ms);
@@ -137,12 +137,12 @@
   CHECK_FALSE(session->partReceived({2}));
 }
 
-TEST(RegistrySessionTest, partsBeforeTheFirstViewAreNotTaken) {
+TEST(RegistrySessionTest, partsBeforeTheFirstViewAreIgnored) {
   accept(1);
   CHECK_FALSE(session->partReceived({1}));
 }
 
-TEST(RegistrySessionTest, serversThatNameEachOtherAreAskedWithPauses) {
+TEST(RegistrySessionTest, serversThatNameEachOtherAreContactedWithBackoff) {
   std::uint64_t number = 0;
   for (int step = 0; step < 1000; ++step) {
     if (link.opens.size() > number) {
--- a/test/gateway/request_digest_test.cpp
+++ b/test/gateway/request_digest_test.cpp
@@ -28,14 +28,14 @@
   }
 };
 
-TEST(RequestDigestTest, whatChangesFromOneTryToTheNextIsNoPartOfIt) {
+TEST(RequestDigestTest, fieldsThatChangeBetweenAttemptsAreNotDigested) {
   net::HttpRequest again = request;
   again.headers.set("Id", "r2");
   again.headers.set("Deadline-Ms", "3100");
   CHECK(digestOf(dialect.callerOf(request), request) == digestOf(dialect.callerOf(again), again));
 }
 
-TEST(RequestDigestTest, callerMethodPathAndBodyArePartOfIt) {
+TEST(RequestDigestTest, callerMethodPathAndBodyAreDigested) {
   net::HttpRequest other = request;
   other.headers.set("Caller", "two");
   checkDiffers(other);
@@ -50,14 +50,14 @@
   checkDiffers(other);
 }
 
-TEST(RequestDigestTest, bytesThatMoveFromOnePartToTheNextMakeAnother) {
+TEST(RequestDigestTest, bytesMovedBetweenPartsChangeTheDigest) {
   net::HttpRequest other = request;
   other.target = "/a/b?cb";
   other.body = "ody";
   checkDiffers(other);
 }
 
-TEST(RequestDigestTest, aRequestThatWasCutIsNamedTheSameInEachTry) {
+TEST(RequestDigestTest, aCutRequestIsLoggedWithTheSameDigestEachTime) {
   GatewayHarness harness;
   harness.declare(2);
   harness.follow();
--- a/test/gateway/request_quarantine_test.cpp
+++ b/test/gateway/request_quarantine_test.cpp
@@ -44,7 +44,7 @@
   }
 };
 
-TEST(RequestQuarantineTest, aCalmGatewayComputesAndSendsNothing) {
+TEST(RequestQuarantineTest, withoutSuspectsNothingIsComputedOrSent) {
   const auto first = request("once", "r1");
   harness.answer(lastSent(), 200, "r1", "x");
   const auto second = request("stream", "r2");
@@ -54,7 +54,7 @@
   CHECK(harness.link.cuts.empty());
 }
 
-TEST(RequestQuarantineTest, aCutRequestIsToldOnceToEachLeader) {
+TEST(RequestQuarantineTest, aCutRequestIsReportedOnceToEachLeader) {
   const auto caller = request("once", "r1");
   harness.lose(lastSent());
   harness.advanceFollowing(1s);
@@ -67,7 +67,7 @@
   CHECK(harness.link.cuts[1].cuts[0].age >= 1900ms);
 }
 
-TEST(RequestQuarantineTest, whatIsCutTogetherIsToldTogether) {
+TEST(RequestQuarantineTest, requestsCutTogetherAreReportedTogether) {
   const auto first = request("once", "r1", "one");
   const SentRequest sent = lastSent();
   const auto second = request("once", "r2", "two");
@@ -78,7 +78,7 @@
   CHECK_EQUAL(2, harness.link.cuts[0].cuts.size());
 }
 
-TEST(RequestQuarantineTest, aStreamThatHadAnEventIsNoSuspect) {
+TEST(RequestQuarantineTest, aCutStreamThatHadAnEventIsNotReported) {
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   lastSent().callbacks->onResponseBody("id: 1\n\n");
@@ -86,14 +86,14 @@
   CHECK(harness.link.cuts.empty());
 }
 
-TEST(RequestQuarantineTest, aHeadWithoutAnEventIsNoAnswer) {
+TEST(RequestQuarantineTest, aCutStreamThatHadOnlyAHeadIsReported) {
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   harness.lose(lastSent());
   CHECK_EQUAL(1, harness.link.cuts.size());
 }
 
-TEST(RequestQuarantineTest, aQuarantinedRequestIsRefusedAsNotRunForAsLongAsThatLasts) {
+TEST(RequestQuarantineTest, aQuarantinedRequestIsRefusedWithTheRemainingTime) {
   announceSuspect(RequestStanding::quarantined, "once", "same", 60s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(0, sentCount());
@@ -103,7 +103,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(RequestQuarantineTest, aHeldRequestWaitsUntilMoreIsKnown) {
+TEST(RequestQuarantineTest, aHeldRequestWaitsUntilItsHoldExpires) {
   announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
   harness.advanceFollowing(1900ms);
@@ -113,7 +113,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(RequestQuarantineTest, aHeldRequestGoesOnAsSoonAsItIsCleared) {
+TEST(RequestQuarantineTest, aHeldRequestIsSentAsSoonAsItIsCleared) {
   announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
   harness.gateway.suspectsReceived({});
@@ -129,14 +129,14 @@
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(RequestQuarantineTest, aHeldRequestWithoutTheTimeToWaitIsRefusedAtOnce) {
+TEST(RequestQuarantineTest, aHeldRequestWithTooShortADeadlineIsRefusedAtOnce) {
   announceSuspect(RequestStanding::held, "once", "same", 6s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(503, caller->status);
   STRCMP_EQUAL("6.00", caller->headers.find("Retry-After")->c_str());
 }
 
-TEST(RequestQuarantineTest, whatIsWithAWorkerIsLeftThereWhileItIsHeld) {
+TEST(RequestQuarantineTest, aRequestAtAWorkerIsNotCancelledWhenHeld) {
   const auto caller = request("once", "r1");
   announceSuspect(RequestStanding::held, "once", "same", 2s);
   CHECK_FALSE(lastSent().cancelled);
@@ -144,7 +144,7 @@
   CHECK_EQUAL(200, caller->status);
 }
 
-TEST(RequestQuarantineTest, aSuspectGoesOnAndIsToldOfOnceItIsAnswered) {
+TEST(RequestQuarantineTest, aSuspectIsSentAndReportedOnceAnswered) {
   announceSuspect(RequestStanding::suspected, "once", "same");
   const auto caller = request("once", "r1");
   harness.answer(lastSent(), 200, "r1", "x");
@@ -153,7 +153,7 @@
   CHECK(harness.link.cuts[0].answered[0] == digestFor("once", "same"));
 }
 
-TEST(RequestQuarantineTest, anErrorOfTheWorkersOwnIsAnAnswerToo) {
+TEST(RequestQuarantineTest, aWorkersErrorCountsAsAnswered) {
   announceSuspect(RequestStanding::suspected, "once", "same");
   const auto caller = request("once", "r1");
   harness.answer(lastSent(), 500, "r1", "x");
@@ -162,7 +162,7 @@
   CHECK_EQUAL(1, harness.link.cuts[0].answered.size());
 }
 
-TEST(RequestQuarantineTest, whetherItHadBegunIsToldAndLogged) {
+TEST(RequestQuarantineTest, receiptOfTheHeadIsReportedAndLogged) {
   const auto queued = request("bound", "r1");
   harness.lose(lastSent());
   const auto begun = request("bound", "r2", "other");
@@ -175,14 +175,14 @@
   STRCMP_EQUAL("yes", lines[1].fields.at("begun").c_str());
 }
 
-TEST(RequestQuarantineTest, whatIsQueuedAtAWorkerIsTakenBack) {
+TEST(RequestQuarantineTest, aQuarantinedRequestQueuedAtAWorkerIsCancelled) {
   const auto caller = request("once", "r1");
   announceSuspect(RequestStanding::quarantined, "once", "same");
   CHECK(lastSent().cancelled);
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(RequestQuarantineTest, whatIsBeingAnsweredGoesOn) {
+TEST(RequestQuarantineTest, aQuarantinedRequestThatIsBeingAnsweredContinues) {
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   lastSent().callbacks->onResponseBody("id: 1\n\n");
@@ -190,14 +190,14 @@
   CHECK_FALSE(lastSent().cancelled);
 }
 
-TEST(RequestQuarantineTest, whatWaitsForAWorkerIsRefusedAtOnce) {
+TEST(RequestQuarantineTest, aQuarantinedWaitingRequestIsRefusedAtOnce) {
   const auto caller = harness.request("bound", "r1", "m", "same");
   CHECK_EQUAL(0, sentCount());
   announceSuspect(RequestStanding::quarantined, "bound", "same");
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(RequestQuarantineTest, aCutRequestIsNotRepeatedWhileItIsHeld) {
+TEST(RequestQuarantineTest, aCutRequestIsNotRetriedWhileHeld) {
   const auto caller = request("safe", "r1");
   announceSuspect(RequestStanding::held, "safe", "same", 2s);
   harness.lose(lastSent());
@@ -207,7 +207,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(RequestQuarantineTest, verdictsAreKeptWhileThereIsNoLeader) {
+TEST(RequestQuarantineTest, classificationsAreKeptWithoutALeader) {
   announceSuspect(RequestStanding::quarantined, "once", "same");
   harness.scheduler.advance(5s);
   const auto caller = request("once", "r1");
@@ -215,7 +215,7 @@
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(RequestQuarantineTest, aNewLeadersWordReplacesThem) {
+TEST(RequestQuarantineTest, aNewLeadersListReplacesTheClassifications) {
   announceSuspect(RequestStanding::quarantined, "once", "same");
   harness.gateway.leaderFollowed(true);
   const auto refused = request("once", "r1");
--- a/test/gateway/suspension_test.cpp
+++ b/test/gateway/suspension_test.cpp
@@ -47,7 +47,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(SuspensionTest, anAnswerThatCameMeanwhileIsDelivered) {
+TEST(SuspensionTest, aResponseReceivedDuringTheSuspensionIsDelivered) {
   const auto caller = harness.request("safe", "r1");
   harness.scheduler.suspendFor(6s);
   harness.answer(lastSent(), 200, "r1", "x");
@@ -55,7 +55,7 @@
   CHECK_EQUAL(200, caller->status);
 }
 
-TEST(SuspensionTest, aQuarantineThatEndedMeanwhileBindsNobody) {
+TEST(SuspensionTest, aQuarantineThatExpiredDuringTheSuspensionIsIgnored) {
   net::HttpRequest request;
   request.method = "POST";
   request.target = "/once/x";
@@ -70,7 +70,7 @@
 }
 
 /// What was told before the suspension is not told again, and is as old as it is.
-TEST(SuspensionTest, aCutIsToldWithTheTimeThatWasSlept) {
+TEST(SuspensionTest, theAgeOfACutIncludesTheSuspension) {
   const auto caller = harness.request("once", "r1");
   harness.lose(lastSent());
   harness.scheduler.suspendFor(7s);
@@ -80,7 +80,7 @@
   CHECK(harness.link.cuts[1].cuts[0].age >= 7s);
 }
 
-TEST(SuspensionTest, anOpenBreakerIsJudgedByTheTimeThatWasSlept) {
+TEST(SuspensionTest, anOpenBreakerAdmitsARequestAfterTheSuspension) {
   std::vector<std::unique_ptr<Caller>> callers;
   for (const char* id : {"r1", "r2", "r3"}) {
     callers.push_back(harness.request("once", id));
--- a/test/gateway/wake_order_test.cpp
+++ b/test/gateway/wake_order_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_GROUP(WakeOrderTest) { GatewayHarness harness; };
 
-TEST(WakeOrderTest, theFirstToComeIsTheFirstToBeSent) {
+TEST(WakeOrderTest, waitingRequestsAreSentInTheOrderOfArrival) {
   harness.declare(1);
   harness.follow();
   constexpr std::size_t kCallers = 40;
--- a/test/gateway/worker_selector_test.cpp
+++ b/test/gateway/worker_selector_test.cpp
@@ -44,7 +44,7 @@
   STRCMP_EQUAL("w1", selectedWorker().c_str());
 }
 
-TEST(WorkerSelectorTest, aFailingWorkerIsPassedOverForAWhile) {
+TEST(WorkerSelectorTest, aWorkerWithFailuresIsAvoidedForAWhile) {
   setWorkers(2);
   for (int count = 0; count < 5; ++count) {
     worker("w1").failures.observe(true, now);
@@ -79,7 +79,7 @@
   STRCMP_EQUAL("w2", selectedWorker().c_str());
 }
 
-TEST(WorkerSelectorTest, theReasonIsNamedWhenNobodyCanBeHad) {
+TEST(WorkerSelectorTest, theReasonIsGivenWhenNoWorkerIsAvailable) {
   CHECK_TRUE(selector.select("svc", {}, {}, now).reason == NoWorkerReason::noWorkers);
   setWorkers(1);
   RequestFacts facts;
@@ -88,7 +88,7 @@
   CHECK_TRUE(selector.select("svc", {}, {{"w1"}}, now).reason == NoWorkerReason::excluded);
 }
 
-TEST(WorkerSelectorTest, loadsStandUntilTheyAreToldAnew) {
+TEST(WorkerSelectorTest, loadsAreKeptUntilUpdated) {
   setWorkers(1);
   registry::ViewUpdate update;
   update.loads = {{{"w1"}, "", 5}};
@@ -101,7 +101,7 @@
   CHECK_EQUAL(0, worker("w1").runningElsewhere);
 }
 
-TEST(WorkerSelectorTest, aCompleteUpdateEndsLoadsThatItDoesNotName) {
+TEST(WorkerSelectorTest, aCompleteUpdateClearsUnlistedLoads) {
   setWorkers(1);
   registry::ViewUpdate update;
   update.loads = {{{"w1"}, "", 5}};
@@ -115,7 +115,7 @@
 
 /// Gateways learn of each other's requests some hundred ms late. Seen on muisti-prod-large: those
 /// that came in that time all went to one worker, and its streams paused while it read the prompts.
-TEST(WorkerSelectorTest, gatewaysThatKnowTheSameDontAllChooseTheSame) {
+TEST(WorkerSelectorTest, gatewaysWithTheSameViewSelectDifferentWorkers) {
   constexpr std::size_t kWorkers = 6;
   constexpr int kGateways = 60;
   setWorkers(kWorkers);
