--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -154,7 +154,8 @@
   bool mayHaveRun() const { return startedAttempts_ > attemptsNotRun_; }
 
  private:
-  /// Lower bound of the time without an event after which a stream is sent to another worker.
+  /// Lower bound of the stall timeout: the time until the first event, or between two events, after
+  /// which a stream is sent to another worker.
   static constexpr base::Duration kStallFloor = std::chrono::milliseconds(900);
 
   enum class State : std::uint8_t { choosing, attempting, ended };
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -54,8 +54,8 @@
   void viewReceived(const registry::ViewUpdate& update);
   void suspectsReceived(const registry::SuspectList& list);
   /// Called when the first view of a newly followed leader has come.
-  /// @param told true if the leader has sent a list of suspect requests before the view: otherwise
-  /// there are none.
+  /// @param gotSuspects true if the leader has sent a list of suspect requests before the view:
+  /// otherwise there are none.
   void leaderFollowed(bool gotSuspects);
   /// Puts a document in force if it is newer than the present one.
   /// @return true if it was put in force.
--- a/src/gateway/quota_account.h
+++ b/src/gateway/quota_account.h
@@ -57,7 +57,7 @@
   std::optional<registry::QuotaRequest> ask(bool all, base::TimePoint now);
   /// @return true if the grant answers the open request.
   bool granted(const registry::QuotaGrant& grant, base::TimePoint now);
-  /// Drops the open request, which will not be answered any more, so that the next leader is asked.
+  /// Drops the open request, which will not be answered any more, so that the next leader gets one.
   void leaderLost() { openRequest_.reset(); }
   /// @return true if no owner has had a request recently.
   bool empty() const { return accounts_.empty(); }
--- a/src/gateway/registry_session.h
+++ b/src/gateway/registry_session.h
@@ -64,7 +64,7 @@
   void notLeading(protocol::ConnectionId connection, const registry::NotLeading& message);
   /// @return false if the update is not from the server that is followed.
   bool viewReceived(protocol::ConnectionId connection, const registry::ViewUpdate& update);
-  /// @return true if the connection is to the server that is asked or followed.
+  /// @return true if the connection is of the current subscription.
   bool isCurrent(protocol::ConnectionId connection) const { return connection_ == connection; }
   /// Counts bytes of a document as a sign of life of the leader, like a view.
   /// @return false if they are not from the server that is followed.
--- a/src/gateway/request_quarantine.h
+++ b/src/gateway/request_quarantine.h
@@ -27,8 +27,8 @@
   /// Replaces the classifications by the leader's list.
   void take(const registry::SuspectList& list, base::TimePoint now);
   /// Called when the first view of a newly followed leader has come.
-  /// @param told true if the leader has sent a list of suspect requests before the view: otherwise
-  /// there are none.
+  /// @param gotSuspects true if the leader has sent a list of suspect requests before the view:
+  /// otherwise there are none.
   void leaderFollowed(bool gotSuspects);
 
   /// @return true if requests have to be looked up. Usually there are no suspects, and no digest
--- a/src/gateway/worker_limits.h
+++ b/src/gateway/worker_limits.h
@@ -84,9 +84,9 @@
   /// @param gateways number of gateways that send to a worker if no leader divides its limit.
   void setSharing(bool shared, std::uint32_t gateways);
   ShareState shareState(const registry::WorkerId& worker, base::TimePoint now);
-  /// @return the time until a request may be sent, for a worker whose share is spent.
+  /// @return the time until a request may be sent, for a worker whose share is exhausted.
   base::Duration retryAfter(const registry::WorkerId& worker, base::TimePoint now);
-  /// Takes the permit of a request that is sent to the worker, where `standing` is open.
+  /// Takes the permit of a request that is sent to the worker, where `shareState` is open.
   void take(const registry::WorkerId& worker, base::TimePoint now);
   void waitBegan(const registry::WorkerId& worker) { shares_.waitBegan(worker.value, 1); }
   void waitEnded(const registry::WorkerId& worker) { shares_.waitEnded(worker.value, 1); }
--- a/src/gateway/worker_selector.h
+++ b/src/gateway/worker_selector.h
@@ -40,7 +40,7 @@
   virtual ~ShareLookup() = default;
   virtual ShareState shareState(const registry::WorkerId& worker) = 0;
   virtual bool limited(const registry::WorkerId& worker) const = 0;
-  /// @return the time until a share is available, for a worker whose share is spent.
+  /// @return the time until a share is available, for a worker whose share is exhausted.
   virtual base::Duration shareRetryAfter(const registry::WorkerId& worker) = 0;
 };
 
--- a/test/gateway/demand_report_test.cpp
+++ b/test/gateway/demand_report_test.cpp
@@ -1,4 +1,4 @@
-/// When a gateway tells the registry of its demand and of what its requests use.
+/// Tests of when a gateway reports its demand and the models in use to the registry.
 
 #include "gateway_harness.h"
 
@@ -56,8 +56,8 @@
   CHECK_TRUE(demand.targetLatency == 400ms);
 }
 
-/// Thousands of gateways have nothing to tell most of the time; their servers take a connection on
-/// which nothing comes for 10 s for lost.
+/// Thousands of gateways have nothing to report most of the time, but a server considers a
+/// connection lost on which nothing comes for 10 s.
 TEST(DemandReportTest, emptyReportsAreRareButKeepTheConnection) {
   harness.advanceFollowing(30s);
   CHECK_TRUE(reports() >= 6);
--- a/test/gateway/document_receiver_test.cpp
+++ b/test/gateway/document_receiver_test.cpp
@@ -1,4 +1,4 @@
-/// Documents that come in parts.
+/// Tests of reassembling documents from their parts.
 
 #include "gateway/document_receiver.h"
 
--- a/test/gateway/event_stream_test.cpp
+++ b/test/gateway/event_stream_test.cpp
@@ -1,4 +1,4 @@
-/// Whole events out of cut bytes.
+/// Tests of splitting a stream of bytes into whole events.
 
 #include "gateway/event_stream.h"
 
--- a/test/gateway/exchange_test.cpp
+++ b/test/gateway/exchange_test.cpp
@@ -1,4 +1,4 @@
-/// Requests under failures of their workers and callers.
+/// Tests of request proxying under failures of workers and callers.
 
 #include "gateway/gateway_harness.h"
 
@@ -14,7 +14,7 @@
   const SentRequest& sent(std::size_t index) { return *harness.launcher.sent.at(index); }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
 
-  /// The leader tells how many requests of all gateways are at each worker.
+  /// Announces the number of requests of all gateways at each worker, as the leader does.
   void announceLoads(std::initializer_list<std::uint32_t> running) {
     registry::ViewUpdate update;
     std::size_t number = 0;
@@ -23,8 +23,8 @@
     }
     harness.gateway.viewReceived(update);
   }
-  /// A stream runs for a second from its first event on, so that the gateway knows how long one
-  /// holds a slot.
+  /// Runs a stream for a second from its first event on, so that the gateway knows for how long a
+  /// stream occupies a slot.
   void completeStream(const char* id) {
     const auto caller = harness.request("stream", id);
     const SentRequest& attempt = *harness.launcher.sent.back();
@@ -278,7 +278,8 @@
   CHECK_TRUE(sent(0).cancelled);
 }
 
-/// The process would end before its document came, and cut the connection without an answer.
+/// Otherwise the process would shut down before its document came, and cut the connection without a
+/// response.
 TEST(ExchangeTest, aRequestWaitingForTheFirstDocumentIsRefusedAtShutdown) {
   const auto waiting = harness.request("once", "r1");
   harness.gateway.refuseAll();
@@ -309,13 +310,13 @@
     callers.push_back(harness.request("safe", id));
     harness.answer(*harness.launcher.sent.back(), 500, id, "");
   }
-  // 70 % of a slack of 100 and of a fifth of 500 requests.
+  // The budget is 70 % of a slack of 100 plus 70 % of a fifth of 500 requests.
   CHECK_TRUE(sentCount() <= 500 + 70 + 70);
   CHECK_TRUE(sentCount() > 500 + 100);
 }
 
-/// Seen on muisti-prod-large: streams that waited in the queue of a full worker were given up there
-/// and ended as failures, as no retry was left.
+/// Guards against streams that were cancelled while queued at a full worker and then failed,
+/// because no retry was left in the budget.
 TEST(ExchangeTest, anUnresponsiveWorkerKeepsItsStreamIfNoRetryIsLeft) {
   harness.declare(2);
   std::vector<std::unique_ptr<Caller>> callers;
@@ -388,7 +389,7 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-/// Open connections may go silent for good, without a reset, while new ones work.
+/// Open connections may become unresponsive for good, without a reset, while new ones work.
 TEST(ExchangeTest, anUnresponsiveConnectionClosesIdleOnesToTheSameWorker) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
--- a/test/gateway/failing_worker_test.cpp
+++ b/test/gateway/failing_worker_test.cpp
@@ -1,5 +1,5 @@
-/// What a gateway tells of its attempts, and how it goes by the registry's word that a worker
-/// fails.
+/// Tests of the reported outcomes of attempts, and of the selection of workers that the registry
+/// marks as failing.
 
 #include "gateway/gateway_harness.h"
 
@@ -15,7 +15,7 @@
 
   std::size_t sentCount() { return harness.launcher.sent.size(); }
   const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
-  /// The leader tells that a worker holds model m, and whether it fails.
+  /// Announces a worker, whether it holds model m and whether it is failing, as the leader does.
   void announceWorker(std::size_t number, bool failing, bool holds = true) {
     registry::ViewUpdate update;
     update.changed = {GatewayHarness::worker(number)};
@@ -114,11 +114,11 @@
   checkOutcomes(0, 0);
 }
 
-/// What cuts a gateway off from the leader may cut it off from sound workers too.
+/// A fault that separates a gateway from the leader may separate it from healthy workers too.
 TEST(FailingWorkerTest, outcomesWithoutALeaderAreNotReportedLater) {
   harness.declare(1);
   harness.follow();
-  harness.scheduler.advance(2s);  // Nothing is heard of the leader.
+  harness.scheduler.advance(2s);  // No message comes from the leader.
   const auto lost = harness.request("once", "r1");
   harness.lose(lastSent());
   harness.scheduler.advance(600ms);
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// A gateway in virtual time, with workers played by the test.
+/// Test harness: a gateway in virtual time, with the test in the role of callers, workers and
+/// leader.
 
 #include <functional>
 #include <map>
@@ -14,7 +15,7 @@
 
 namespace walnut::gateway::testing {
 
-/// Time stands still but for `advance`.
+/// Scheduler in virtual time, which moves by `advance` and `suspendFor` only.
 class ManualScheduler : public event::Scheduler {
  public:
   base::TimePoint now() const override { return now_; }
@@ -42,11 +43,11 @@
     }
     now_ = end;
   }
-  /// The machine is suspended within a turn of the loop: only the clock itself tells.
+  /// Simulates a suspension within an event loop iteration: only `readClock` shows it.
   void suspendWithinIteration(base::Duration duration) { suspendedWithinIteration_ = duration; }
-  /// The machine was suspended: time has passed, and no timer has run yet.
+  /// Simulates a suspension between iterations: time has passed, and no timer has run yet.
   void suspendFor(base::Duration duration) { now_ += duration; }
-  /// Runs what is due by now.
+  /// Runs the timers that are due.
   void runDue() {
     timers_.runDue(now_);
     settle();
@@ -59,8 +60,9 @@
   std::vector<std::function<void()>> deferred_;
 };
 
-/// Fields: Id, Deadline-Ms, Model ("m" or "m/a"), Resume, Key, Tokens (of the prompt), Tenant (the
-/// gateway's own); of answers: Id, Sealed, Not-Run.
+/// Dialect of the tests. Header fields of requests: Id, Deadline-Ms, Model ("m" or "m/a"), Resume,
+/// Key, Tokens (of the prompt), Tenant (set by the gateway only); of responses: Id, Sealed,
+/// Not-Run.
 class TestDialect : public RequestDialect {
  public:
   RequestFacts readRequest(const net::HttpRequest& request) const override {
@@ -122,9 +124,9 @@
   }
 };
 
-/// The caller's side of one request.
+/// The caller's side of one request, which records the response.
 struct Caller : net::ResponseSink {
-  int status = 0;  ///< Of the answer; 0: none yet.
+  int status = 0;  ///< Status of the response; 0 before it has come.
   net::HeaderList headers;
   std::string body;
   bool complete = false;
@@ -149,7 +151,7 @@
   void setDrainedCallback(std::function<void()>) override {}
 };
 
-/// What reached a worker.
+/// A request that was sent to a worker.
 struct SentRequest {
   registry::WorkerRecord worker;
   net::HttpRequest request;
@@ -157,6 +159,7 @@
   bool cancelled = false;
 };
 
+/// Records the requests sent to workers instead of sending them.
 class RecordingLauncher : public AttemptLauncher {
  public:
   std::vector<std::shared_ptr<SentRequest>> sent;
@@ -183,6 +186,7 @@
   };
 };
 
+/// Records the messages to the registry by type.
 class RecordingRegistryLink : public RegistryLink {
  public:
   std::vector<base::Endpoint> opened;
@@ -212,7 +216,7 @@
   }
 };
 
-/// One line of the decision log.
+/// One line of the event log.
 struct LoggedLine {
   runtime::LogEvent event = runtime::LogEvent::processStarted;
   std::map<std::string, std::string, std::less<>> fields;
@@ -230,7 +234,7 @@
     }
     lines.push_back(std::move(line));
   }
-  /// @return the lines of that event.
+  /// @return the lines of one kind of event.
   std::vector<LoggedLine> of(runtime::LogEvent event) const {
     std::vector<LoggedLine> found;
     for (const LoggedLine& line : lines) {
@@ -242,8 +246,8 @@
   }
 };
 
-/// One gateway with a document of one service "svc" and routes /safe/, /once/, /stream/ (may be
-/// resumed) and /bound/ (may not).
+/// A gateway with a document of one service "svc" and the routes /safe/ (repeatable), /once/ (not
+/// repeatable), /stream/ (resumable stream) and /bound/ (non-resumable stream).
 class GatewayHarness {
  public:
   GatewayHarness()
@@ -268,7 +272,7 @@
     made.servers = {{"10.0.0.9", 7000}};
     return made;
   }
-  std::uint32_t featureLevel = registry::kFeatureLevel;  ///< Of the leader.
+  std::uint32_t featureLevel = registry::kFeatureLevel;  ///< Supported by the leader.
 
   /// Connects the gateway to the registry's leader.
   void follow() {
@@ -279,14 +283,14 @@
     gateway.start();
   }
 
-  /// The leader is found again after it was lost.
+  /// Connects to the leader again after `loseLeader`.
   void followAgain() {
     const protocol::ConnectionId connection{1};
     session_.opened(connection, link.opened.back(), featureLevel);
     session_.viewReceived(connection, {});
   }
   void loseLeader() { session_.closed(protocol::ConnectionId{1}); }
-  /// Time passes, and the followed leader is heard all the while.
+  /// Advances time while views of the followed leader keep coming.
   void advanceFollowing(base::Duration duration) {
     constexpr base::Duration kStep = std::chrono::milliseconds(100);
     for (base::Duration left = duration; left > base::Duration::zero(); left -= kStep) {
@@ -318,7 +322,7 @@
     return made;
   }
 
-  /// Tells the gateway of a document and of workers w1, w2, ...
+  /// Gives the gateway a document and a complete view of workers w1, w2, ...
   void declare(std::size_t workers, std::uint64_t version = 1) {
     registry::ViewUpdate update;
     update.complete = true;
@@ -344,7 +348,8 @@
     return view;
   }
 
-  /// @return the caller of a request on that route.
+  /// Sends a request to the gateway.
+  /// @return its caller.
   std::unique_ptr<Caller> request(const std::string& routeName, const std::string& id,
                                   const std::string& model = "", const std::string& body = "") {
     net::HttpRequest made;
@@ -363,7 +368,7 @@
     return caller;
   }
 
-  /// The worker's answer begins.
+  /// Delivers the head of the worker's response.
   bool head(const SentRequest& sent, int status, const std::string& id, bool sealed,
             bool notRun = false) {
     net::MessageHead made;
--- a/test/gateway/key_admission_test.cpp
+++ b/test/gateway/key_admission_test.cpp
@@ -1,4 +1,4 @@
-/// Whose requests a gateway lets through: keys, the lease on them, and tenants' quotas.
+/// Tests of admission: keys, the lease on the document that contains them, and tenants' quotas.
 
 #include "gateway/gateway_harness.h"
 
@@ -19,8 +19,7 @@
     made.keys = std::move(keys);
     return made;
   }
-  /// A document with tenants one (key k1, priority 3) and two (key k2), and the route /free/ that
-  /// needs no key.
+  /// Declares a document with the given tenants, and with the route /free/ that needs no key.
   void declare(std::uint64_t version, std::vector<catalog::Tenant> tenants) {
     registry::ViewUpdate update;
     update.complete = true;
@@ -38,12 +37,13 @@
     harness.gateway.documentReceived(std::move(document));
     harness.scheduler.settle();
   }
+  /// Declares the tenants one (key k1, priority 3) and two (key k2).
   void declareBoth(std::uint64_t version = 1) {
     catalog::Tenant first = tenant("one", {"k1"});
     first.priority = 3;
     declare(version, {first, tenant("two", {"k2"})});
   }
-  /// The leader answers the last question.
+  /// Answers the last confirmation request, as the leader does.
   void confirm(std::uint64_t version) {
     harness.gateway.documentConfirmed({harness.link.confirmRequests.back().sequence, version});
     harness.scheduler.settle();
@@ -126,7 +126,7 @@
   CHECK_TRUE(harness.gateway.ready());
 }
 
-/// 503 and never 401: the gateway can't know.
+/// The status is 503 and never 401: the gateway can't know whether the key is valid.
 TEST(KeyAdmissionTest, anExpiredLeaseRefusesAllRequestsThatNeedAKey) {
   begin();
   harness.scheduler.advance(4499ms);
@@ -142,7 +142,7 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-/// The answer may be seconds late: it is as old as its question.
+/// An answer may be seconds late: its age counts from its request.
 TEST(KeyAdmissionTest, theLeaseCountsFromItsRequest) {
   harness.follow();
   declareBoth();
@@ -159,7 +159,8 @@
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
 }
 
-/// The loop has read its clock, and then the machine sleeps; the request was sent meanwhile.
+/// The machine is suspended after the loop has read its clock, and the request is sent during the
+/// suspension.
 TEST(KeyAdmissionTest, theClockIsReadAfterTheRequestHasCome) {
   begin();
   harness.scheduler.suspendWithinIteration(5s);
@@ -180,7 +181,7 @@
   STRCMP_EQUAL("two", lastSent().headers.find("Tenant")->c_str());
 }
 
-/// A newer document may have the key.
+/// A newer document may contain the key.
 TEST(KeyAdmissionTest, aGatewayWithAnOutdatedDocumentRefusesNoKeyAsUnknown) {
   begin();
   registry::ViewUpdate update;
@@ -218,7 +219,7 @@
 declare(1, {limited});
 confirm(1);
 }
-/// A request is paid, and as much is held as the next one costs.
+/// Spends the cost of one request, and leaves as much quota held as the next one costs.
 std::unique_ptr<Caller> spendAndHold() {
   beginLimited();
   auto caller = request("safe", "r1", "k1", "50");
@@ -267,7 +268,7 @@
   STRCMP_EQUAL("0.50", second->headers.find("Retry-After")->c_str());
 }
 
-/// The leader did not know of it when it answered.
+/// The leader did not know of the request when it answered.
 TEST(QuotaAdmissionTest, aRequestNotCoveredByAGrantWaitsForTheNextOne) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
@@ -296,7 +297,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-/// The lease on keys outlasts that on what is held.
+/// The lease on the document lasts longer than that on held quota, so only the latter expires here.
 TEST(QuotaAdmissionTest, heldQuotaExpiresByTheClockReadAfterTheRequestHasCome) {
   const auto first = spendAndHold();
   harness.scheduler.suspendWithinIteration(registry::kQuotaLease);
--- a/test/gateway/late_model_test.cpp
+++ b/test/gateway/late_model_test.cpp
@@ -1,5 +1,5 @@
-/// Requests for a model that is expected only after their callers would have left.
-/// Pattern: a store that takes one load of 18 s at a time, and callers that give up a stream which
+/// Tests of requests for a model that is expected only after their callers have disconnected. Such
+/// a model occurs if a store serves one load of 18 s at a time, and callers abandon a stream that
 /// has not begun after seconds.
 
 #include "gateway/gateway_harness.h"
--- a/test/gateway/limited_worker_test.cpp
+++ b/test/gateway/limited_worker_test.cpp
@@ -1,5 +1,4 @@
-/// What a gateway sends to a worker that names the requests a second that it takes, and what it
-/// believes of that limit.
+/// Tests of rate limits that workers announce: what a gateway sends, and how limits begin and end.
 
 #include "gateway/gateway_harness.h"
 
@@ -25,8 +24,8 @@
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
   const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
-  /// The worker answers what it was sent last.
-  /// @param limit empty: it names none.
+  /// Delivers the worker's response to a request.
+  /// @param limit announced in the response; empty: none.
   void answer(const SentRequest& sent, const std::string& limit, bool sealed = true,
               int status = 200) {
     net::MessageHead head;
@@ -40,7 +39,7 @@
     sent.callbacks->onResponseComplete();
     harness.scheduler.settle();
   }
-  /// The worker names its limit in the answer to a request.
+  /// Sends a request, whose response announces a limit.
   void limit(const std::string& text) {
     const auto caller = request();
     answer(lastSent(), text);
@@ -58,7 +57,7 @@
     harness.gateway.sharesGranted({{shareRequest.sequence, {{"w1", requests, retryAfter}}}, {}});
     harness.scheduler.settle();
   }
-  /// The leader is lost, and no other one is found.
+  /// Disconnects the leader, so that none is followed.
   void loseLeader() {
     harness.loseLeader();
     harness.scheduler.settle();
@@ -87,14 +86,14 @@
   const double seconds = std::stod(*caller->headers.find("Retry-After"));
   CHECK(seconds >= 1.5 && seconds <= 2.25);
   CHECK_EQUAL(1, sentCount());
-  // The next one is not asked for at all.
+  // For the next request no share is requested at all.
   const std::size_t shareRequestCount = harness.link.shares.size();
   const auto next = request();
   CHECK_EQUAL(503, next->status);
   CHECK_EQUAL(shareRequestCount, harness.link.shares.size());
 }
 
-/// A failing worker is not worth a question, and without a share it is no last resort either.
+/// For a failing worker no share is requested, and without a share it is no last resort either.
 TEST(LimitedWorkerTest, aFailingWorkerWithoutAShareIsNotSentTo) {
   begin();
   limit("1");
@@ -121,7 +120,7 @@
   }
 }
 
-/// Retries and resumptions are requests like others.
+/// Retries and resumptions count against the limit like other requests.
 TEST(LimitedWorkerTest, aRetryNeedsAShareToo) {
   begin();
   const auto first = request();
@@ -151,9 +150,9 @@
   STRCMP_EQUAL("r3", lastSent().request.headers.find("Id")->c_str());
 }
 
-// What is believed
+// Known limits
 
-/// Answers on different connections overtake one another.
+/// Responses on different connections may overtake one another.
 TEST(LimitedWorkerTest, anAnswerToAnEarlierRequestDoesNotEndALimit) {
   begin();
   const auto first = request();
@@ -185,7 +184,7 @@
   CHECK_EQUAL(1, logged(runtime::LogEvent::workerLimitEnded));
 }
 
-/// A view that was sent before the leader heard of the limit ends nothing.
+/// A view that was sent before the limit was reported to the leader must not end the limit.
 TEST(LimitedWorkerTest, aLeaderThatDoesNotKnowALimitYetDoesNotEndIt) {
   begin();
   limit("1");
@@ -252,7 +251,7 @@
   CHECK_EQUAL(before, sentCount());
 }
 
-/// It begins without a limit, whatever the life before it named.
+/// A new incarnation begins without a limit, whatever the previous one announced.
 TEST(LimitedWorkerTest, aLimitEndsWithTheIncarnationOfItsWorker) {
   begin();
   limit("1");
@@ -282,7 +281,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-/// 16 gateways together send 0.4 of the limit.
+/// 16 gateways together send 0.4 of the limit, so that this one sends 0.1 requests per second.
 TEST(LimitedWorkerTest, withoutALeaderAFractionOfTheLimitIsSent) {
   begin();
   registry::ViewUpdate update;
@@ -302,7 +301,7 @@
     served += caller->status == 200 ? 1 : 0;
     refused += caller->status == 503 ? 1 : 0;
   }
-  // 400 s at 0.1 a second.
+  // 400 s at 0.1 requests per second yield 40.
   CHECK(served <= 41);
   CHECK(served >= 36);
   CHECK_EQUAL(2000, refused + served);
@@ -319,7 +318,7 @@
   CHECK_EQUAL(503, caller->status);
 }
 
-/// The machine stood still between the turn of the loop and the request.
+/// The machine is suspended between the begin of the event loop iteration and the request.
 TEST(LimitedWorkerTest, aShareThatExpiredDuringASuspensionIsNotUsed) {
   begin();
   limit("1");
@@ -348,7 +347,7 @@
   UnsharedRate rate(10s, 0.5, now);
   CHECK_FALSE(rate.allows(now + 5s + UnsharedRate::kUsableFor + 1ms));
   CHECK_TRUE(rate.allows(now + 15s));
-  // A high rate brings no more at once than a second of it.
+  // A high rate yields a burst of no more than one second of permits.
   UnsharedRate high(100ms, 0, now);
   now += 60s;
   int sent = 0;
--- a/test/gateway/registry_follower_test.cpp
+++ b/test/gateway/registry_follower_test.cpp
@@ -1,4 +1,4 @@
-/// What a gateway believes of what the registry's servers say.
+/// Tests of which messages of the registry's servers change a gateway's state.
 
 #include "gateway/registry_follower.h"
 
@@ -96,7 +96,7 @@
   CHECK_EQUAL(4, sent<registry::DocumentPartTaken>().at(0).cursor.version);
 }
 
-/// A restarted gateway, before it has found a leader.
+/// This is the state of a restarted gateway before it has found a leader.
 TEST(RegistryFollowerTest, messagesOfServersNotFollowedAreIgnored) {
   connect();
   receive(connection, whole(4));
@@ -114,7 +114,7 @@
   CHECK_EQUAL(5, gateway.documentVersion());
 }
 
-/// A link that breaks in the middle of a document, or a leader that changes then.
+/// The connection may break in the middle of a document, or the leader may change.
 TEST(RegistryFollowerTest, theNextSubscriptionResumesTheDocument) {
   connect();
   receiveView(4);
@@ -181,7 +181,7 @@
   CHECK_TRUE(gateway.isBehind());
 }
 
-/// Names of a view refer to those before it: after one that can't be read none is believed.
+/// Names in a packed view refer to previous views, so none can be decoded after an unreadable one.
 TEST(RegistryFollowerTest, anUnreadablePackedViewCausesANewSubscription) {
   connect();
   receiveView(1);
--- a/test/gateway/registry_session_test.cpp
+++ b/test/gateway/registry_session_test.cpp
@@ -1,4 +1,4 @@
-/// Finding and following the registry's leader.
+/// Tests of finding and following the registry's leader.
 
 #include "gateway/registry_session.h"
 
@@ -42,7 +42,7 @@
     session = std::make_unique<RegistrySession>(options, scheduler, link, log, 1);
     session->start();
   }
-  /// The server asked last accepts, as connection `number`.
+  /// Opens the connection `number` to the server contacted last.
   void accept(std::uint64_t number) {
     session->opened({number}, link.opens.back(), registry::kFeatureLevel);
   }
@@ -99,7 +99,7 @@
   CHECK_FALSE(session->viewReceived({1}, {}));
 }
 
-/// While nobody leads, gateways must not take the servers' time from the election.
+/// Without a leader, gateways must not slow down the election by their connections.
 TEST(RegistrySessionTest, searchRoundsWithoutALeaderBackOff) {
   std::vector<std::size_t> opensBySecond;
   for (int second = 0; second < 4; ++second) {
@@ -126,7 +126,7 @@
   CHECK_EQUAL(before + 1, link.opens.size());
 }
 
-/// A long document on a slow link is no silence.
+/// A long document on a slow link must not look like an unresponsive leader.
 TEST(RegistrySessionTest, partsOfADocumentCountAsSignsOfLife) {
   follow(1);
   for (int part = 0; part < 5; ++part) {
--- a/test/gateway/request_digest_test.cpp
+++ b/test/gateway/request_digest_test.cpp
@@ -1,4 +1,4 @@
-/// What a request is known by when it comes again under another id.
+/// Tests of the digest that identifies a request sent again under another id.
 
 #include "gateway/request_digest.h"
 
--- a/test/gateway/request_quarantine_test.cpp
+++ b/test/gateway/request_quarantine_test.cpp
@@ -1,4 +1,4 @@
-/// How a gateway treats requests that are known, or suspected, to crash their workers.
+/// Tests of how a gateway treats requests that crash their workers, or are suspected of it.
 
 #include "gateway/request_quarantine.h"
 
@@ -23,7 +23,7 @@
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
   const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
-  /// @return the digest of the request that `harness.request` makes.
+  /// @return the digest of the request that `harness.request` sends.
   registry::RequestDigest digestFor(const std::string& route, const std::string& body) {
     net::HttpRequest request;
     request.method = "POST";
--- a/test/gateway/suspension_test.cpp
+++ b/test/gateway/suspension_test.cpp
@@ -1,5 +1,5 @@
-/// A gateway whose machine was suspended: time has gone on, and what comes first after waking is
-/// judged before any timer has run.
+/// Tests of a gateway after a suspension of its machine: time has passed, and the first message is
+/// processed before any timer has run.
 
 #include "gateway/gateway_harness.h"
 #include "gateway/request_digest.h"
@@ -69,7 +69,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-/// What was told before the suspension is not told again, and is as old as it is.
+/// A cut is reported again to a new leader, with an age that includes the suspension.
 TEST(SuspensionTest, theAgeOfACutIncludesTheSuspension) {
   const auto caller = harness.request("once", "r1");
   harness.lose(lastSent());
--- a/test/gateway/wake_order_test.cpp
+++ b/test/gateway/wake_order_test.cpp
@@ -1,4 +1,5 @@
-/// Requests that wait for a model are sent in the order of their arrival once a worker has it.
+/// Test that requests waiting for a model are sent in the order of their arrival once a worker
+/// holds it.
 
 #include "gateway/gateway_harness.h"
 
--- a/test/gateway/worker_selector_test.cpp
+++ b/test/gateway/worker_selector_test.cpp
@@ -1,4 +1,4 @@
-/// Choice of a worker.
+/// Tests of the selection of a worker.
 
 #include "gateway/worker_selector.h"
 
@@ -113,8 +113,8 @@
   CHECK_EQUAL(0, worker("w1").runningElsewhere);
 }
 
-/// Gateways learn of each other's requests some hundred ms late. Seen on muisti-prod-large: those
-/// that came in that time all went to one worker, and its streams paused while it read the prompts.
+/// Gateways learn of each other's requests some hundred ms late. Guards against all of them
+/// selecting the same worker in that time, whose streams then pause while it processes the prompts.
 TEST(WorkerSelectorTest, gatewaysWithTheSameViewSelectDifferentWorkers) {
   constexpr std::size_t kWorkers = 6;
   constexpr int kGateways = 60;
@@ -136,7 +136,7 @@
 TEST(WorkerSelectorTest, aMuchBusierWorkerIsNeverChosen) {
   constexpr std::uint64_t kGateways = 60;
   setWorkers(2);
-  worker("w1").runningElsewhere = 2;  // Of 4 slots.
+  worker("w1").runningElsewhere = 2;  // The worker has 4 slots.
   for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
     WorkerSelector other(directory, {{"here"}, WorkerSelectorOptions().spread, gateway},
                          [](const registry::WorkerId&) { return true; });
