--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,24 +16,25 @@
 constexpr int kNotFound = 404;
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-/// Share of the budget that is used: gateways are counted with a delay.
-constexpr double kBudgetShare = 0.7;
-/// @name Least time between reports that tell whether a model is in use: a leader takes some
-/// hundred a second from all gateways together
+/// Fraction of the retry budget that is used, because the number of gateways is known with a delay.
+constexpr double kBudgetFraction = 0.7;
+/// @name Minimum time between reports of whether a model is in use: a leader processes a few
+/// hundred reports a second from all gateways together
 /// @{
-constexpr base::Duration kUseSpacing = std::chrono::milliseconds(50);
-constexpr base::Duration kUseSpacingPerGateway = std::chrono::milliseconds(4);
+constexpr base::Duration kUseReportSpacing = std::chrono::milliseconds(50);
+constexpr base::Duration kUseReportSpacingPerGateway = std::chrono::milliseconds(4);
 /// @}
-/// Between two reports that have nothing: well below the time after which a server takes a silent
-/// connection for lost.
-constexpr base::Duration kQuietInterval = std::chrono::seconds(3);
-/// For the first document after a start: little more than an election takes.
-constexpr base::Duration kEarlyPatience = std::chrono::milliseconds(1500);
-constexpr std::size_t kMaxEarly = 256;
-
-/// A lease counts from its question, so that no share of it need be left for messages; a tenth is
-/// for clocks that run apart.
-base::Duration leaseOf(base::Duration revocation) {
+/// Time between two empty reports: well below the time after which a server considers an idle
+/// connection lost.
+constexpr base::Duration kEmptyReportInterval = std::chrono::seconds(3);
+/// Time that early requests wait for the first document after a start: little more than an election
+/// takes.
+constexpr base::Duration kEarlyRequestTimeout = std::chrono::milliseconds(1500);
+constexpr std::size_t kMaxEarlyRequests = 256;
+
+/// Returns the duration of a document lease. The lease counts from the time of its request, so that
+/// no part of it has to be reserved for message delays; a tenth is reserved for clock drift.
+base::Duration leaseDuration(base::Duration revocation) {
   constexpr int kTenths = 9;
   return revocation * kTenths / 10;
 }
@@ -54,8 +55,8 @@
       session_(session),
       log_(log),
       metrics_(metrics),
-      lease_(leaseOf(options.revocation)),
-      leaseTimer_(scheduler.createTimer([this] { askForDocument(); })),
+      lease_(leaseDuration(options.revocation)),
+      leaseTimer_(scheduler.createTimer([this] { renewLease(); })),
       quotaTimer_(scheduler.createTimer([this] { reviewQuota(); })),
       limits_(options.selection.seed),
       shareTimer_(scheduler.createTimer([this] { reviewShares(); })),
@@ -63,7 +64,7 @@
           directory_, options.selection,
           [&launcher](const registry::WorkerId& id) { return launcher.connected(id); }, this),
       demandTimer_(scheduler.createTimer([this] { reportDemand(); })),
-      earlyTimer_(scheduler.createTimer([this] { refuseLateEarly(); })) {}
+      earlyTimer_(scheduler.createTimer([this] { refuseExpiredEarly(); })) {}
 
 Gateway::~Gateway() = default;
 
@@ -80,11 +81,11 @@
 
 void Gateway::viewReceived(const registry::ViewUpdate& update) {
   directory_.apply(update);
-  takeLimits(update);
+  applyLimits(update);
   gateways_ = std::max<std::uint32_t>(1, update.gateways);
-  noteNewest(update.documentVersion);
+  recordNewestVersion(update.documentVersion);
   for (auto& [service, budget] : budgets_) {
-    budget.setFloor(kBudgetShare * options_.retrySlack / gateways_);
+    budget.setFloor(kBudgetFraction * options_.retrySlack / gateways_);
   }
   if (update.complete || !update.changed.empty()) {
     wakeWaiting();
@@ -103,7 +104,7 @@
 void Gateway::lateModelsReceived(const registry::LateModels& late) {
   const base::TimePoint now = scheduler_.now();
   lateModels_.clear();
-  lateModelsUntil_ = now + registry::kLateModelsLast;
+  lateModelsExpireAt_ = now + registry::kLateModelsLast;
   for (const registry::LateModel& model : late.models) {
     lateModels_[{model.service, model.model}] = now + model.availableIn;
   }
@@ -114,46 +115,47 @@
 
 std::optional<base::TimePoint> Gateway::expectedAt(const std::string& service,
                                                    const std::string& model) const {
-  if (!session_.following() || scheduler_.now() >= lateModelsUntil_) {
+  if (!session_.following() || scheduler_.now() >= lateModelsExpireAt_) {
     return std::nullopt;
   }
   const auto found = lateModels_.find({service, model});
   return found == lateModels_.end() ? std::nullopt : std::optional(found->second);
 }
 
-void Gateway::leaderFollowed(bool told) {
-  quarantine_.leaderFollowed(told);
+void Gateway::leaderFollowed(bool gotSuspects) {
+  quarantine_.leaderFollowed(gotSuspects);
   reportCutsSoon();
-  quietUntil_ = {};
+  nextEmptyReportAt_ = {};
   quota_.leaderLost();
   limits_.leaderFollowed();
-  askForDocument();
-  askForQuota(true);
+  renewLease();
+  requestQuota(true);
 }
 
-std::optional<RequestQuarantine::Verdict> Gateway::verdictOn(
+std::optional<RequestQuarantine::Classification> Gateway::classificationOf(
     const registry::RequestDigest& request) const {
   return quarantine_.find(request, scheduler_.now());
 }
 
 void Gateway::requestCut(const Worker& worker, const registry::RequestDigest& request, bool begun) {
-  quarantine_.cut(request, worker.view.record.id, begun, scheduler_.now());
+  quarantine_.addCut(request, worker.view.record.id, begun, scheduler_.now());
   reportCutsSoon();
 }
 
 void Gateway::suspectAnswered(const registry::RequestDigest& request) {
-  quarantine_.answered(request);
+  quarantine_.addAnswered(request);
   reportCutsSoon();
 }
 
-/// One report for all that ended with a worker.
+/// Schedules one report for all requests that were cut together, such as by the end of their
+/// worker.
 void Gateway::reportCutsSoon() {
   if (!std::exchange(cutsSoon_, true)) {
     scheduler_.runSoon([this] { reportCuts(); });
   }
 }
 
-/// What no leader hears now is told to the next one.
+/// Reports cut requests. Without a leader they are kept and reported to the next one.
 void Gateway::reportCuts() {
   cutsSoon_ = false;
   if (!session_.following()) {
@@ -164,7 +166,7 @@
   }
 }
 
-void Gateway::noteNewest(std::uint64_t version) {
+void Gateway::recordNewestVersion(std::uint64_t version) {
   if (version <= newestVersion_) {
     return;
   }
@@ -176,35 +178,35 @@
 }
 
 bool Gateway::documentReceived(std::shared_ptr<const catalog::Document> document) {
-  const std::uint64_t former = documentVersion();
-  if (document->version <= former) {
+  const std::uint64_t previous = documentVersion();
+  if (document->version <= previous) {
     return false;
   }
   const auto behind =
       std::chrono::duration_cast<std::chrono::milliseconds>(scheduler_.now() - newestSince_);
   log_.write(LogEvent::documentTaken, {{"version", document->version},
-                                       {"former", former},
+                                       {"former", previous},
                                        {"newest", newestVersion_},
                                        {"millis", static_cast<std::uint64_t>(behind.count())}});
   document_ = std::move(document);
   routes_ = std::make_unique<catalog::RouteTable>(document_);
   keys_ = std::make_unique<KeyTable>(document_);
-  if (!lease_.documentTaken(document_->version)) {
-    askForDocument();
+  if (!lease_.documentApplied(document_->version)) {
+    renewLease();
   }
-  if (!early_.empty() && prepared()) {
+  if (!early_.empty() && isPrepared()) {
     scheduler_.runSoon([this] { routeEarly(); });
   }
   wakeWaiting();
   return true;
 }
 
-bool Gateway::prepared() const {
+bool Gateway::isPrepared() const {
   return routes_ != nullptr && (!document_->keyed || lease_.age(scheduler_.now()).has_value());
 }
 
 bool Gateway::ready() const {
-  return prepared() && !stopping_ && (!document_->keyed || lease_.valid(scheduler_.readClock()));
+  return isPrepared() && !stopping_ && (!document_->keyed || lease_.valid(scheduler_.readClock()));
 }
 
 void Gateway::refuseAll() {
@@ -218,7 +220,7 @@
   }
 }
 
-void Gateway::giveUpAll() { forEachExchange(&Exchange::giveUp); }
+void Gateway::giveUpAll() { forEachExchange(&Exchange::cancel); }
 
 void Gateway::wakeWaiting() { forEachExchange(&Exchange::viewChanged); }
 
@@ -237,16 +239,17 @@
 }
 
 void Gateway::onRequest(net::HttpRequest request, net::ResponseSink& sink) {
-  if (!prepared()) {
-    keepEarly(std::move(request), sink);
+  if (!isPrepared()) {
+    queueEarly(std::move(request), sink);
   } else {
     routeRequest(std::move(request), sink, base::Duration::zero());
   }
 }
 
-/// The document comes within moments of the start of a gateway; what can't wait is refused.
-void Gateway::keepEarly(net::HttpRequest request, net::ResponseSink& sink) {
-  if (refusingAll_ || early_.size() >= kMaxEarly) {
+/// Queues a request that comes before the first document, which arrives within moments of the start
+/// of a gateway. Refuses it if the queue is full.
+void Gateway::queueEarly(net::HttpRequest request, net::ResponseSink& sink) {
+  if (refusingAll_ || early_.size() >= kMaxEarlyRequests) {
     refuse(sink, dialect_.readRequest(request).requestId, kUnavailable,
            refusingAll_ ? "stopping" : "no document is known");
     return;
@@ -254,7 +257,7 @@
   early_.push_back({std::move(request), &sink, scheduler_.now()});
   const auto entry = std::prev(early_.end());
   sink.setGoneCallback([this, entry] { early_.erase(entry); });
-  earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyPatience);
+  earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyRequestTimeout);
 }
 
 void Gateway::routeEarly() {
@@ -264,15 +267,15 @@
   }
 }
 
-void Gateway::refuseLateEarly() {
-  while (!early_.empty() && early_.front().arrivedAt + kEarlyPatience <= scheduler_.now()) {
+void Gateway::refuseExpiredEarly() {
+  while (!early_.empty() && early_.front().arrivedAt + kEarlyRequestTimeout <= scheduler_.now()) {
     const EarlyRequest early = std::move(early_.front());
     early_.pop_front();
     refuse(*early.sink, dialect_.readRequest(early.request).requestId, kUnavailable,
            "no document is known");
   }
   if (!early_.empty()) {
-    earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyPatience);
+    earlyTimer_->enableAt(early_.front().arrivedAt + kEarlyRequestTimeout);
   }
 }
 
@@ -301,23 +304,23 @@
     }
   }
   facts.key.clear();
-  UnpaidRequest unpaid{std::move(request), &sink, std::move(facts),
-                       document_,          route, scheduler_.now()};
+  PendingRequest pending{std::move(request), &sink, std::move(facts),
+                         document_,          route, scheduler_.now()};
   if (tenant != nullptr && tenant->limited() &&
-      !quota_.take(tenant->name, unpaid.facts.quotaCost, scheduler_.readClock())) {
-    waitForQuota(std::move(unpaid));
+      !quota_.take(tenant->name, pending.facts.quotaCost, scheduler_.readClock())) {
+    queueForQuota(std::move(pending));
     return;
   }
-  admit(std::move(unpaid));
+  admit(std::move(pending));
 }
 
-void Gateway::admit(UnpaidRequest admitted) {
+void Gateway::admit(PendingRequest admitted) {
   const catalog::Route& route = *admitted.route;
   RequestFacts& facts = admitted.facts;
   const std::string service = pickService(route);
   budgetOf(service).firstAttempt(scheduler_.now());
   if (!facts.model.empty()) {
-    demand_.arrived(service, facts.model, facts.adapter, urgencyOf(facts, route));
+    demand_.requestArrived(service, facts.model, facts.adapter, urgencyOf(facts, route));
   }
   const std::uint64_t number = ++lastExchange_;
   auto exchange =
@@ -351,7 +354,7 @@
   if (route.services.size() == 1) {
     return route.services.front().service;
   }
-  // Smooth weighted round robin: the one that is furthest behind its share is next.
+  // Smooth weighted round robin: the service that is furthest behind its share is next.
   std::map<std::string, double>& behind = rotations_[route.name];
   double total = 0;
   const catalog::WeightedService* next = nullptr;
@@ -369,8 +372,8 @@
 
 routing::RetryBudget& Gateway::budgetOf(const std::string& service) {
   return budgets_
-      .try_emplace(service, options_.retryRatio * kBudgetShare,
-                   kBudgetShare * options_.retrySlack / gateways_)
+      .try_emplace(service, options_.retryRatio * kBudgetFraction,
+                   kBudgetFraction * options_.retrySlack / gateways_)
       .first->second;
 }
 
@@ -411,24 +414,26 @@
     return;
   }
   registry::DemandUpdate update = demand_.takeUpdate(directory_);
-  if (!update.empty() || scheduler_.now() >= quietUntil_) {
-    quietUntil_ = update.empty() ? scheduler_.now() + kQuietInterval : base::TimePoint();
+  if (!update.empty() || scheduler_.now() >= nextEmptyReportAt_) {
+    nextEmptyReportAt_ =
+        update.empty() ? scheduler_.now() + kEmptyReportInterval : base::TimePoint();
     session_.send(std::move(update));
   }
 }
 
 void Gateway::attemptBegan(Worker& worker, const RequestFacts& facts) {
-  worker.began(facts.model);
+  worker.requestBegan(facts.model);
   reportUseSoon(worker, facts.model);
 }
 
 void Gateway::attemptEnded(Worker& worker, const RequestFacts& facts) {
-  worker.ended(facts.model);
+  worker.requestEnded(facts.model);
   reportUseSoon(worker, facts.model);
 }
 
-/// Whether a model is in use decides what makes room for others, and is told soon; how much it is
-/// used may wait. All gateways together tell no more often the more they are.
+/// Reports soon if a model has begun or ceased to be in use, since that decides which models are
+/// evicted to free memory for others; a change of the amount of use may wait. The spacing grows
+/// with the number of gateways, so that the rate of all reports together does not.
 void Gateway::reportUseSoon(const Worker& worker, const std::string& model) {
   const auto running = worker.runningByModel.find(model);
   const bool changed = running == worker.runningByModel.end() || running->second == 1;
@@ -438,7 +443,8 @@
 }
 
 void Gateway::reportWithinSpacing() {
-  const base::Duration spacing = std::max(kUseSpacing, kUseSpacingPerGateway * gateways_);
+  const base::Duration spacing =
+      std::max(kUseReportSpacing, kUseReportSpacingPerGateway * gateways_);
   const base::TimePoint due = std::max(scheduler_.now(), demandReportedAt_ + spacing);
   if (due < demandDueAt_) {
     demandDueAt_ = due;
@@ -456,8 +462,8 @@
   }
 }
 
-/// The registry detects outliers by the outcomes of all gateways together: none of them alone sees
-/// enough of one worker. Failures are told soon.
+/// Records an outcome for the registry, which detects outliers from the outcomes of all gateways
+/// together: no single gateway sees enough of one worker. Failures are reported soon.
 void Gateway::attemptSettled(const Worker& worker, const RequestFacts& facts,
                              AttemptOutcome outcome) {
   const registry::WorkerRecord& record = worker.view.record;
@@ -467,14 +473,14 @@
   }
 }
 
-void Gateway::ended(Exchange& exchange, int status) {
+void Gateway::exchangeEnded(Exchange& exchange, int status) {
   metrics_.count("walnut_gateway_requests_total", std::to_string(status));
   const auto found = exchanges_.find(exchange.number());
   if (found != exchanges_.end()) {
     const RequestFacts& facts = exchange.facts();
     countTenant(facts.tenant, status);
     if (facts.quotaCost > 0 && !exchange.mayHaveRun()) {
-      quota_.giveBack(facts.tenant, facts.quotaCost, scheduler_.now());
+      quota_.refund(facts.tenant, facts.quotaCost, scheduler_.now());
     }
     scheduler_.destroySoon(std::move(found->second));
     exchanges_.erase(found);
--- a/src/gateway/registry_follower.cpp
+++ b/src/gateway/registry_follower.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// A gateway that knows of a newer document gets some of it within this: a leader sends a part to
-/// each of 400 gateways in half a second (DocumentSender).
-constexpr base::Duration kDocumentPatience = std::chrono::milliseconds(1500);
+/// Time within which a gateway that knows of a newer document gets a part of it: a leader sends a
+/// part to each of 400 gateways in half a second (DocumentSender).
+constexpr base::Duration kDocumentTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -21,10 +21,11 @@
                     message.body);
 }
 
-/// A view of another connection than the followed one is not decoded: it would spoil the names.
+/// Decodes and applies a view. A view of another connection than the followed one is not decoded:
+/// that would corrupt the decoder's table of names.
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::PackedView& packed) {
-  if (!session_.asks(connection)) {
+  if (!session_.isCurrent(connection)) {
     return false;
   }
   const auto view = viewDecoder_.decode(packed.bytes);
@@ -43,21 +44,21 @@
     return false;
   }
   if (view.complete) {
-    gateway_.leaderFollowed(suspectsFrom_ == connection);
-    suspectsFrom_.reset();
+    gateway_.leaderFollowed(suspectsConnection_ == connection);
+    suspectsConnection_.reset();
   }
   gateway_.viewReceived(view);
-  askAgainIfStuck();
+  resubscribeIfStalled();
   return true;
 }
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::SuspectList& list) {
-  if (!session_.asks(connection)) {
+  if (!session_.isCurrent(connection)) {
     return false;
   }
   if (!session_.following()) {
-    suspectsFrom_ = connection;
+    suspectsConnection_ = connection;
   }
   gateway_.suspectsReceived(list);
   return true;
@@ -71,7 +72,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::DocumentConfirmed& answer) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.documentConfirmed(answer);
   }
   return false;
@@ -79,7 +80,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::QuotaGrant& grant) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.quotaGranted(grant);
   }
   return false;
@@ -87,7 +88,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::ShareGrant& grant) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.sharesGranted(grant);
   }
   return false;
@@ -95,7 +96,7 @@
 
 bool RegistryFollower::receive(protocol::ConnectionId connection,
                                const registry::LateModels& late) {
-  if (session_.asks(connection)) {
+  if (session_.isCurrent(connection)) {
     gateway_.lateModelsReceived(late);
   }
   return false;
@@ -106,7 +107,7 @@
   if (!session_.partReceived(connection)) {
     return false;
   }
-  documentMovedAt_ = scheduler_.now();
+  documentProgressAt_ = scheduler_.now();
   auto document = receiver_.take(part, gateway_.document().get());
   if (document.has_error()) {
     refuseDocument(part, document.error());
@@ -119,25 +120,25 @@
   return taken;
 }
 
-void RegistryFollower::askAgainIfStuck() {
-  if (!gateway_.behind()) {
-    documentMovedAt_.reset();
+void RegistryFollower::resubscribeIfStalled() {
+  if (!gateway_.isBehind()) {
+    documentProgressAt_.reset();
     return;
   }
-  if (!documentMovedAt_) {
-    documentMovedAt_ = scheduler_.now();
+  if (!documentProgressAt_) {
+    documentProgressAt_ = scheduler_.now();
   }
-  if (scheduler_.now() < *documentMovedAt_ + kDocumentPatience) {
+  if (scheduler_.now() < *documentProgressAt_ + kDocumentTimeout) {
     return;
   }
   log_.write(LogEvent::documentStuck, {{"held", gateway_.documentVersion()},
                                        {"partial", receiver_.cursor().version},
                                        {"bytes", receiver_.cursor().received}});
-  documentMovedAt_.reset();
+  documentProgressAt_.reset();
   session_.subscribeAgain();
 }
 
-/// The document is asked for as a whole: the delta may be what is wrong.
+/// Subscribes again for the whole document, as the delta may be at fault.
 void RegistryFollower::refuseDocument(const registry::DocumentPart& part,
                                       const base::Error& error) {
   log_.write(LogEvent::documentRefused, {{"version", part.version},
--- a/src/gateway/request_quarantine.h
+++ b/src/gateway/request_quarantine.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a gateway knows of requests that crash the workers that run them.
+/// The gateway's part in the quarantine of requests that crash the workers that run them.
 
 #include <cstdint>
 #include <deque>
@@ -12,36 +12,40 @@
 
 namespace walnut::gateway {
 
-/// The leader decides from the reports of all gateways (registry/crash_monitor.h); what it told of
-/// last is kept while there is no leader. Reports are kept too: a leader that is new to this
-/// gateway may not have the ones of before, and gets them again.
+/// Keeps the classification of suspect requests that the leader has sent, and the cut requests that
+/// are reported to it. The leader classifies requests from the reports of all gateways
+/// (registry/crash_monitor.h). Its last list is kept while there is no leader. Reports are kept
+/// too: a newly followed leader may not have the earlier ones, and gets them again.
 class RequestQuarantine {
  public:
-  struct Verdict {
+  struct Classification {
     registry::RequestStanding standing = registry::RequestStanding::suspected;
     std::uint32_t crashes = 0;
     base::TimePoint until;
   };
 
-  /// The leader's word: replaces what it told of before.
+  /// Replaces the classifications by the leader's list.
   void take(const registry::SuspectList& list, base::TimePoint now);
-  /// The first view of a leader came.
-  /// @param told whether it has told of suspects before: else there are none.
-  void leaderFollowed(bool told);
+  /// Called when the first view of a newly followed leader has come.
+  /// @param gotSuspects true if the leader has sent a list of suspect requests before the view:
+  /// otherwise there are none.
+  void leaderFollowed(bool gotSuspects);
 
-  /// @return true if requests have to be looked up. On most days there is nothing to look up, and
-  /// nothing to compute for it.
-  bool watching() const { return !verdicts_.empty(); }
-  /// @return nothing if the request is like any other.
-  std::optional<Verdict> find(const registry::RequestDigest& request, base::TimePoint now) const;
+  /// @return true if requests have to be looked up. Usually there are no suspects, and no digest
+  /// has to be computed.
+  bool isActive() const { return !classifications_.empty(); }
+  /// @return the classification of a request; nothing if it is not suspect.
+  std::optional<Classification> find(const registry::RequestDigest& request,
+                                     base::TimePoint now) const;
 
-  /// @name To be reported
+  /// @name Reports to the leader
   /// @{
-  /// @param begun the head of its answer had come.
-  void cut(const registry::RequestDigest& request, const registry::WorkerId& worker, bool begun,
-           base::TimePoint now);
-  void answered(const registry::RequestDigest& request);
-  /// @return what the leader was not told of yet; nothing if there is none.
+  /// Records a request whose connection was cut.
+  /// @param begun true if the head of the response had come.
+  void addCut(const registry::RequestDigest& request, const registry::WorkerId& worker, bool begun,
+              base::TimePoint now);
+  void addAnswered(const registry::RequestDigest& request);
+  /// @return what has not been reported to this leader yet; nothing if there is none.
   std::optional<registry::CutReport> takeReport(base::TimePoint now);
   /// @}
 
@@ -51,14 +55,15 @@
     registry::WorkerId worker;
     bool begun = false;
     base::TimePoint at;
-    bool told = false;
+    bool isReported = false;
   };
 
-  /// Callers come back within seconds, a leader is found within some more.
-  static constexpr base::Duration kCutsLast = std::chrono::seconds(60);
-  static constexpr std::size_t kMostCuts = 512;
+  /// Time for which cut requests are kept: callers send a request again within seconds, and a
+  /// leader is found within a few more.
+  static constexpr base::Duration kCutRetention = std::chrono::seconds(60);
+  static constexpr std::size_t kMaxCuts = 512;
 
-  std::map<registry::RequestDigest, Verdict> verdicts_;
+  std::map<registry::RequestDigest, Classification> classifications_;
   std::deque<Cut> cuts_;  ///< Oldest first.
   std::vector<registry::RequestDigest> answered_;
 };
--- a/test/gateway/exchange_test.cpp
+++ b/test/gateway/exchange_test.cpp
@@ -1,4 +1,4 @@
-/// Requests under failures of their workers and callers.
+/// Tests of request proxying under failures of workers and callers.
 
 #include "gateway/gateway_harness.h"
 
@@ -11,11 +11,11 @@
 
 TEST_GROUP(ExchangeTest) {
   GatewayHarness harness;
-  const Sent& sent(std::size_t index) { return *harness.launcher.sent.at(index); }
+  const SentRequest& sent(std::size_t index) { return *harness.launcher.sent.at(index); }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
 
-  /// The leader tells how many requests of all gateways are at each worker.
-  void load(std::initializer_list<std::uint32_t> running) {
+  /// Announces the number of requests of all gateways at each worker, as the leader does.
+  void announceLoads(std::initializer_list<std::uint32_t> running) {
     registry::ViewUpdate update;
     std::size_t number = 0;
     for (const std::uint32_t count : running) {
@@ -23,11 +23,11 @@
     }
     harness.gateway.viewReceived(update);
   }
-  /// A stream runs for a second from its first event on, so that the gateway knows how long one
-  /// holds a slot.
-  void runAStream(const char* id) {
+  /// Runs a stream for a second from its first event on, so that the gateway knows for how long a
+  /// stream occupies a slot.
+  void completeStream(const char* id) {
     const auto caller = harness.request("stream", id);
-    const Sent& attempt = *harness.launcher.sent.back();
+    const SentRequest& attempt = *harness.launcher.sent.back();
     harness.scheduler.advance(50ms);
     harness.head(attempt, 200, id, true);
     attempt.callbacks->onResponseBody("id: 1\n\n");
@@ -41,7 +41,7 @@
   }
 };
 
-TEST(ExchangeTest, withoutADocumentNothingIsRefusedForGood) {
+TEST(ExchangeTest, aRefusalWithoutADocumentIsRetryable) {
   const auto caller = harness.request("safe", "r1");
   CHECK_EQUAL(0, caller->status);
   harness.scheduler.advance(2s);
@@ -49,7 +49,7 @@
   CHECK(caller->headers.find("Retry-After") != nullptr);
 }
 
-TEST(ExchangeTest, aRequestThatCameBeforeTheDocumentIsRoutedWithWhatIsLeftOfItsTime) {
+TEST(ExchangeTest, aRequestQueuedBeforeTheFirstDocumentKeepsItsRemainingDeadline) {
   const auto caller = harness.request("safe", "r1");
   const auto left = harness.request("safe", "r2");
   left->gone();
@@ -64,7 +64,7 @@
   CHECK_EQUAL(404, harness.request("none", "r1")->status);
 }
 
-TEST(ExchangeTest, theAnswerIsPassedOnUnchanged) {
+TEST(ExchangeTest, theResponseIsForwardedUnchanged) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   CHECK_EQUAL(1, sentCount());
@@ -75,7 +75,7 @@
   STRCMP_EQUAL("teapot", caller->body.c_str());
 }
 
-TEST(ExchangeTest, whatIsLeftOfTheDeadlineIsSaid) {
+TEST(ExchangeTest, theRemainingDeadlineIsSentToTheWorker) {
   harness.declare(2);
   const auto caller = harness.request("safe", "r1");
   harness.scheduler.advance(2s);
@@ -83,7 +83,7 @@
   STRCMP_EQUAL("3000", sent(1).request.headers.find("Deadline-Ms")->c_str());
 }
 
-TEST(ExchangeTest, anAnswerToAnotherRequestIsPassedOver) {
+TEST(ExchangeTest, aResponseToAnotherRequestIsIgnored) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   CHECK_FALSE(harness.head(sent(0), 200, "r0", true));
@@ -91,7 +91,7 @@
   STRCMP_EQUAL("mine", caller->body.c_str());
 }
 
-TEST(ExchangeTest, anAnswerThatNobodyVouchesForIsNotPassedOn) {
+TEST(ExchangeTest, anUnsealedResponseIsNotForwarded) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   harness.head(sent(0), 200, "r1", false);
@@ -99,7 +99,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(ExchangeTest, aRequestThatMayHaveRunIsNotRunAgain) {
+TEST(ExchangeTest, aNonRepeatableRequestThatMayHaveRunIsNotRetried) {
   harness.declare(2);
   const auto caller = harness.request("once", "r1");
   harness.lose(sent(0));
@@ -107,7 +107,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(ExchangeTest, aRequestThatDidNotRunIsSentElsewhere) {
+TEST(ExchangeTest, aRequestThatDidNotRunIsSentToAnotherWorker) {
   harness.declare(2);
   const auto caller = harness.request("once", "r1");
   harness.refuse(sent(0), 503, "r1");
@@ -127,7 +127,7 @@
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(ExchangeTest, aWorkersOwnFailureIsTheAnswerWhenNoAttemptIsLeft) {
+TEST(ExchangeTest, theLastWorkersErrorIsForwardedWhenNoAttemptIsLeft) {
   harness.declare(3);
   const auto caller = harness.request("safe", "r1");
   harness.answer(sent(0), 500, "r1", "first");
@@ -136,7 +136,7 @@
   STRCMP_EQUAL("second", caller->body.c_str());
 }
 
-TEST(ExchangeTest, theTimeoutIsAnsweredAtOnce) {
+TEST(ExchangeTest, theDeadlineCancelsTheAttemptAndIsAnswered) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   harness.scheduler.advance(4999ms);
@@ -146,7 +146,7 @@
   CHECK_TRUE(sent(0).cancelled);
 }
 
-TEST(ExchangeTest, withoutWorkersARefusalPromisesThatNothingRan) {
+TEST(ExchangeTest, aRefusalWithoutWorkersIsRetryable) {
   harness.declare(0);
   const auto caller = harness.request("once", "r1");
   CHECK_EQUAL(0, caller->status);
@@ -155,7 +155,7 @@
   CHECK(caller->headers.find("Retry-After") != nullptr);
 }
 
-TEST(ExchangeTest, aCallerThatLeavesEndsItsAttempt) {
+TEST(ExchangeTest, aDisconnectedCallersAttemptIsCancelled) {
   harness.declare(1);
   const auto caller = harness.request("stream", "r1");
   caller->gone();
@@ -164,7 +164,7 @@
   CHECK_EQUAL(0, harness.gateway.exchangeCount());
 }
 
-TEST(ExchangeTest, aBrokenStreamGoesOnElsewhereAfterItsLastEvent) {
+TEST(ExchangeTest, aBrokenStreamResumesAtAnotherWorkerAfterItsLastEvent) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   harness.head(sent(0), 200, "r1", true);
@@ -179,7 +179,7 @@
   CHECK_TRUE(caller->complete);
 }
 
-TEST(ExchangeTest, aBrokenStreamThatMayNotBeResumedDoesNotLookComplete) {
+TEST(ExchangeTest, aBrokenNonResumableStreamIsAborted) {
   harness.declare(2);
   const auto caller = harness.request("bound", "r1");
   harness.head(sent(0), 200, "r1", true);
@@ -190,7 +190,7 @@
   CHECK_FALSE(caller->complete);
 }
 
-TEST(ExchangeTest, aStreamThatEndsWithinAnEventIsNotComplete) {
+TEST(ExchangeTest, aStreamThatEndsWithinAnEventIsAborted) {
   harness.declare(1);
   const auto caller = harness.request("bound", "r1");
   harness.head(sent(0), 200, "r1", true);
@@ -199,7 +199,7 @@
   CHECK_TRUE(caller->aborted);
 }
 
-TEST(ExchangeTest, aSilentWorkerLosesAStreamThatMayBeResumed) {
+TEST(ExchangeTest, aResumableStreamLeavesAnUnresponsiveWorker) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   harness.scheduler.advance(2s);
@@ -219,7 +219,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(ExchangeTest, aWorkerThatLacksTheModelIsNotAskedAgainAtOnce) {
+TEST(ExchangeTest, aWorkerThatDeniedHoldingTheModelIsNotRetriedAtOnce) {
   harness.declare(1);
   registry::ViewUpdate update;
   update.changed.push_back(GatewayHarness::worker(1));
@@ -234,13 +234,13 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-TEST(ExchangeTest, anOlderDocumentIsNeverTaken) {
+TEST(ExchangeTest, anOlderDocumentIsIgnored) {
   harness.declare(1, 5);
   harness.declare(1, 4);
   CHECK_EQUAL(5, harness.gateway.documentVersion());
 }
 
-TEST(ExchangeTest, aLeavingWorkerGetsNothingNew) {
+TEST(ExchangeTest, aLeavingWorkerGetsNoNewRequests) {
   harness.declare(2);
   registry::ViewUpdate update;
   update.changed.push_back(GatewayHarness::worker(1));
@@ -265,7 +265,7 @@
   CHECK_EQUAL(503, harness.request("once", "r3")->status);
 }
 
-TEST(ExchangeTest, aRequestThatWaitsIsRefusedWhenTheProcessIsAboutToEnd) {
+TEST(ExchangeTest, aWaitingRequestIsRefusedAtShutdown) {
   harness.declare(1);
   const auto waiting = harness.request("stream", "r1", "m");
   const auto running = harness.request("once", "r2");
@@ -278,8 +278,9 @@
   CHECK_TRUE(sent(0).cancelled);
 }
 
-/// The process would end before its document came, and cut the connection without an answer.
-TEST(ExchangeTest, aRequestThatWaitsForTheFirstDocumentIsRefusedWhenTheProcessIsAboutToEnd) {
+/// Otherwise the process would shut down before its document came, and cut the connection without a
+/// response.
+TEST(ExchangeTest, aRequestWaitingForTheFirstDocumentIsRefusedAtShutdown) {
   const auto waiting = harness.request("once", "r1");
   harness.gateway.refuseAll();
   CHECK_EQUAL(503, waiting->status);
@@ -287,7 +288,7 @@
   CHECK_EQUAL(503, harness.request("once", "r2")->status);
 }
 
-TEST(ExchangeTest, aWorkerWhoseStreamsPauseIsPassedOver) {
+TEST(ExchangeTest, aWorkerWithPausingStreamsIsAvoided) {
   harness.declare(2);
   const auto paused = harness.request("stream", "r1");
   harness.scheduler.advance(50ms);
@@ -301,7 +302,7 @@
   CHECK_TRUE(sent(1).worker.id.value != sent(0).worker.id.value);
 }
 
-TEST(ExchangeTest, theRetryBudgetHoldsForAllRequestsTogether) {
+TEST(ExchangeTest, theRetryBudgetLimitsAllRequestsTogether) {
   harness.declare(3);
   std::vector<std::unique_ptr<Caller>> callers;
   for (int number = 0; number < 500; ++number) {
@@ -309,14 +310,14 @@
     callers.push_back(harness.request("safe", id));
     harness.answer(*harness.launcher.sent.back(), 500, id, "");
   }
-  // 70 % of a slack of 100 and of a fifth of 500 requests.
+  // The budget is 70 % of a slack of 100 plus 70 % of a fifth of 500 requests.
   CHECK_TRUE(sentCount() <= 500 + 70 + 70);
   CHECK_TRUE(sentCount() > 500 + 100);
 }
 
-/// Seen on muisti-prod-large: streams that waited in the queue of a full worker were given up there
-/// and ended as failures, as no retry was left.
-TEST(ExchangeTest, aSilentWorkerKeepsItsStreamIfNoRetryIsLeft) {
+/// Guards against streams that were cancelled while queued at a full worker and then failed,
+/// because no retry was left in the budget.
+TEST(ExchangeTest, anUnresponsiveWorkerKeepsItsStreamIfNoRetryIsLeft) {
   harness.declare(2);
   std::vector<std::unique_ptr<Caller>> callers;
   for (int number = 0; number < 200; ++number) {
@@ -331,13 +332,13 @@
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(ExchangeTest, aSilentWorkerKeepsItsStreamIfTheOthersAreFull) {
+TEST(ExchangeTest, anUnresponsiveWorkerKeepsItsStreamIfTheOthersAreFull) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
-  load({9, 9});
+  announceLoads({9, 9});
   harness.scheduler.advance(3s);
   CHECK_EQUAL(1, sentCount());
-  load({9, 0});
+  announceLoads({9, 0});
   harness.scheduler.advance(2s);
   CHECK_EQUAL(2, sentCount());
   CHECK_TRUE(sent(0).cancelled);
@@ -345,51 +346,51 @@
 
 TEST(ExchangeTest, aStreamThatWouldBeginLateIsRefusedAtOnce) {
   harness.declare(2);
-  runAStream("r0");
-  load({9, 9});
+  completeStream("r0");
+  announceLoads({9, 9});
   const auto caller = harness.request("stream", "r1", "");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
   CHECK(caller->headers.find("Retry-After") != nullptr);
 }
 
-TEST(ExchangeTest, aStreamThatBeginsInTimeWaitsAtAFullWorker) {
+TEST(ExchangeTest, aStreamThatBeginsInTimeIsQueuedAtAFullWorker) {
   harness.declare(2);
-  runAStream("r0");
-  load({9, 4});
+  completeStream("r0");
+  announceLoads({9, 4});
   const auto caller = harness.request("stream", "r1");
   CHECK_EQUAL(1, sentCount());
   STRCMP_EQUAL("w2", sent(0).worker.id.value.c_str());
 }
 
-TEST(ExchangeTest, aStreamThatHasBegunIsNotRefusedForItsQueue) {
+TEST(ExchangeTest, aBegunStreamIsNotRefusedForItsQueueingTime) {
   harness.declare(2);
-  runAStream("r0");
+  completeStream("r0");
   const auto caller = harness.request("stream", "r1");
   harness.head(sent(0), 200, "r1", true);
   sent(0).callbacks->onResponseBody("id: 1\n\n");
-  load({9, 9});
+  announceLoads({9, 9});
   harness.lose(sent(0));
   CHECK_EQUAL(2, sentCount());
   CHECK_FALSE(caller->aborted);
 }
 
-TEST(ExchangeTest, aWorkerThatSaysItIsFullIsBelieved) {
+TEST(ExchangeTest, aReportedFullQueueCountsUntilTheNextView) {
   harness.declare(1);
-  runAStream("r0");
-  load({4});
+  completeStream("r0");
+  announceLoads({4});
   const auto first = harness.request("stream", "r1");
   harness.refuse(sent(0), 503, "r1");
   harness.scheduler.advance(100ms);
   CHECK_EQUAL(1, sentCount());
   CHECK_EQUAL(503, first->status);
-  load({2});
+  announceLoads({2});
   const auto second = harness.request("stream", "r2");
   CHECK_EQUAL(2, sentCount());
 }
 
-/// Open connections may go silent for good, without a reset, while new ones work.
-TEST(ExchangeTest, afterASilentConnectionIdleOnesToThatWorkerAreNotUsed) {
+/// Open connections may become unresponsive for good, without a reset, while new ones work.
+TEST(ExchangeTest, anUnresponsiveConnectionClosesIdleOnesToTheSameWorker) {
   harness.declare(1);
   const auto caller = harness.request("once", "r1");
   harness.scheduler.advance(5s);
@@ -398,7 +399,7 @@
   STRCMP_EQUAL("w1", harness.launcher.forgotten[0].value.c_str());
 }
 
-TEST(ExchangeTest, aStreamThatLeavesASilentWorkerLeavesItsIdleConnectionsToo) {
+TEST(ExchangeTest, aStreamThatLeavesAnUnresponsiveWorkerClosesItsIdleConnections) {
   harness.declare(2);
   const auto caller = harness.request("stream", "r1");
   harness.scheduler.advance(2s);
--- a/test/gateway/failing_worker_test.cpp
+++ b/test/gateway/failing_worker_test.cpp
@@ -1,5 +1,5 @@
-/// What a gateway tells of its attempts, and how it goes by the registry's word that a worker
-/// fails.
+/// Tests of the reported outcomes of attempts, and of the selection of workers that the registry
+/// marks as failing.
 
 #include "gateway/gateway_harness.h"
 
@@ -14,9 +14,9 @@
   GatewayHarness harness;
 
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
-  /// The leader tells that a worker holds model m, and whether it fails.
-  void tell(std::size_t number, bool failing, bool holds = true) {
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
+  /// Announces a worker, whether it holds model m and whether it is failing, as the leader does.
+  void announceWorker(std::size_t number, bool failing, bool holds = true) {
     registry::ViewUpdate update;
     update.changed = {GatewayHarness::worker(number)};
     update.changed[0].failing = failing;
@@ -46,7 +46,7 @@
   }
 };
 
-TEST(FailingWorkerTest, whatBecomesOfAttemptsIsTold) {
+TEST(FailingWorkerTest, outcomesOfAttemptsAreReported) {
   harness.declare(1);
   harness.follow();
   const auto good = harness.request("once", "r1");
@@ -60,7 +60,7 @@
   checkOutcomes(0, 1);
 }
 
-TEST(FailingWorkerTest, anAnswerThatBlamesTheRequestSpeaksForTheWorker) {
+TEST(FailingWorkerTest, aClientErrorCountsAsAnswered) {
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("once", "r1");
@@ -68,7 +68,7 @@
   checkOutcomes(1, 0);
 }
 
-TEST(FailingWorkerTest, aRequestThatWasNotRunSaysNothingOfTheWorker) {
+TEST(FailingWorkerTest, aRequestThatWasNotRunHasNoOutcome) {
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("once", "r1");
@@ -76,11 +76,11 @@
   checkOutcomes(0, 0);
 }
 
-TEST(FailingWorkerTest, aStreamCountsOnceItHasBegunAndAgainIfItIsCut) {
+TEST(FailingWorkerTest, aStreamCountsAsAnsweredOnceBegunAndAsFailedIfCut) {
   harness.declare(1);
   harness.follow();
   const auto caller = harness.request("bound", "r1");
-  const Sent& attempt = lastSent();
+  const SentRequest& attempt = lastSent();
   harness.head(attempt, 200, "r1", true);
   checkOutcomes(0, 0);
   attempt.callbacks->onResponseBody("id: 1\n\nid: 2\n\n");
@@ -89,7 +89,7 @@
   checkOutcomes(0, 1);
 }
 
-TEST(FailingWorkerTest, aWorkerThatIsSilentUntilItsCallerLeavesHasFailed) {
+TEST(FailingWorkerTest, aWorkerUnresponsiveUntilItsCallerDisconnectsHasFailed) {
   harness.declare(1);
   harness.follow();
   const auto patient = harness.request("bound", "r1");
@@ -114,11 +114,11 @@
   checkOutcomes(0, 0);
 }
 
-/// What cuts a gateway off from the leader may cut it off from sound workers too.
-TEST(FailingWorkerTest, outcomesThatNoLeaderHeardAreNotToldLater) {
+/// A fault that separates a gateway from the leader may separate it from healthy workers too.
+TEST(FailingWorkerTest, outcomesWithoutALeaderAreNotReportedLater) {
   harness.declare(1);
   harness.follow();
-  harness.scheduler.advance(2s);  // Nothing is heard of the leader.
+  harness.scheduler.advance(2s);  // No message comes from the leader.
   const auto lost = harness.request("once", "r1");
   harness.lose(lastSent());
   harness.scheduler.advance(600ms);
@@ -129,8 +129,8 @@
 TEST(FailingWorkerTest, aFailingWorkerIsAvoidedWhileAnotherOneHoldsTheModel) {
   harness.declare(2);
   harness.follow();
-  tell(1, true);
-  tell(2, false);
+  announceWorker(1, true);
+  announceWorker(2, false);
   for (const char* id : {"r1", "r2", "r3", "r4"}) {
     const auto caller = harness.request("safe", id, "m");
     STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
@@ -138,24 +138,24 @@
   }
 }
 
-TEST(FailingWorkerTest, aModelThatOnlyAFailingWorkerHoldsIsWaitedFor) {
+TEST(FailingWorkerTest, aRequestWaitsForAReplicaIfOnlyAFailingWorkerHoldsItsModel) {
   harness.declare(2);
   harness.follow();
-  tell(1, true);
+  announceWorker(1, true);
   harness.link.demand.clear();
   const auto caller = harness.request("safe", "r1", "m");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(1, harness.link.demand.back().demands.at(0).waiting);
   harness.advanceFollowing(500ms);
-  tell(2, false);
+  announceWorker(2, false);
   CHECK_EQUAL(1, sentCount());
   STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
 }
 
-TEST(FailingWorkerTest, ifNoOtherReplicaComesTheFailingWorkerIsBetterThanNone) {
+TEST(FailingWorkerTest, withoutAnotherReplicaTheFailingWorkerIsUsed) {
   harness.declare(1);
   harness.follow();
-  tell(1, true);
+  announceWorker(1, true);
   const auto caller = harness.request("safe", "r1", "m");
   harness.advanceFollowing(1800ms);
   CHECK_EQUAL(0, sentCount());
@@ -165,26 +165,26 @@
   CHECK_EQUAL(200, caller->status);
 }
 
-TEST(FailingWorkerTest, withoutALeaderNobodyLoadsAnotherReplicaAndNothingIsWaitedFor) {
+TEST(FailingWorkerTest, withoutALeaderAFailingWorkerIsUsedAtOnce) {
   harness.declare(1);
-  tell(1, true);
+  announceWorker(1, true);
   const auto caller = harness.request("safe", "r1", "m");
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(FailingWorkerTest, aPlainServiceHasNoOtherReplicaToWaitFor) {
+TEST(FailingWorkerTest, aPlainServiceUsesAFailingWorkerAtOnce) {
   harness.declare(2);
   harness.follow();
-  tell(1, true);
-  tell(2, true);
+  announceWorker(1, true);
+  announceWorker(2, true);
   const auto caller = harness.request("safe", "r1");
   CHECK_EQUAL(1, sentCount());
-  tell(2, false);
+  announceWorker(2, false);
   const auto second = harness.request("safe", "r2");
   STRCMP_EQUAL("w2", lastSent().worker.id.value.c_str());
 }
 
-TEST(FailingWorkerTest, anUpdateWithoutHoldingsTellsThatAWorkerFailsTheSame) {
+TEST(FailingWorkerTest, anUpdateWithoutHoldingsMarksAWorkerAsFailing) {
   harness.declare(2);
   harness.follow();
   registry::ViewUpdate update;
--- a/test/gateway/key_admission_test.cpp
+++ b/test/gateway/key_admission_test.cpp
@@ -1,4 +1,4 @@
-/// Whose requests a gateway lets through: keys, the lease on them, and tenants' quotas.
+/// Tests of admission: keys, the lease on the document that contains them, and tenants' quotas.
 
 #include "gateway/gateway_harness.h"
 
@@ -19,8 +19,7 @@
     made.keys = std::move(keys);
     return made;
   }
-  /// A document with tenants one (key k1, priority 3) and two (key k2), and the route /free/ that
-  /// needs no key.
+  /// Declares a document with the given tenants, and with the route /free/ that needs no key.
   void declare(std::uint64_t version, std::vector<catalog::Tenant> tenants) {
     registry::ViewUpdate update;
     update.complete = true;
@@ -38,14 +37,15 @@
     harness.gateway.documentReceived(std::move(document));
     harness.scheduler.settle();
   }
+  /// Declares the tenants one (key k1, priority 3) and two (key k2).
   void declareBoth(std::uint64_t version = 1) {
     catalog::Tenant first = tenant("one", {"k1"});
     first.priority = 3;
     declare(version, {first, tenant("two", {"k2"})});
   }
-  /// The leader answers the last question.
+  /// Answers the last confirmation request, as the leader does.
   void confirm(std::uint64_t version) {
-    harness.gateway.documentConfirmed({harness.link.questions.back().sequence, version});
+    harness.gateway.documentConfirmed({harness.link.confirmRequests.back().sequence, version});
     harness.scheduler.settle();
   }
   void begin() {
@@ -77,7 +77,7 @@
   const net::HttpRequest& lastSent() { return harness.launcher.sent.back()->request; }
 };
 
-TEST(KeyAdmissionTest, aWorkerIsToldTheTenantAndNeverTheKey) {
+TEST(KeyAdmissionTest, aWorkerGetsTheTenantAndNeverTheKey) {
   begin();
   const auto caller = request("safe", "r1", "k1");
   CHECK_EQUAL(1, sentCount());
@@ -85,7 +85,7 @@
   POINTERS_EQUAL(nullptr, lastSent().headers.find("Key"));
 }
 
-TEST(KeyAdmissionTest, anOpenRouteNeedsNoKeyAndTellsNoTenant) {
+TEST(KeyAdmissionTest, anOpenRouteNeedsNoKeyAndSendsNoTenant) {
   begin();
   const auto caller = request("free", "r1", "k1");
   CHECK_EQUAL(1, sentCount());
@@ -93,7 +93,7 @@
   POINTERS_EQUAL(nullptr, lastSent().headers.find("Tenant"));
 }
 
-TEST(KeyAdmissionTest, aKeyThatIsNobodysIsRefused) {
+TEST(KeyAdmissionTest, anUnknownKeyIsRefused) {
   begin();
   CHECK_EQUAL(401, request("safe", "r1", "k3")->status);
   CHECK_EQUAL(401, request("safe", "r2", "")->status);
@@ -101,7 +101,7 @@
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(KeyAdmissionTest, noLineOfTheLogHasAKey) {
+TEST(KeyAdmissionTest, keysAreNeverLogged) {
   begin();
   const auto known = request("safe", "r1", "k1");
   const auto unknown = request("safe", "r2", "k3");
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(KeyAdmissionTest, withoutAConfirmedDocumentNothingIsLetThrough) {
+TEST(KeyAdmissionTest, withoutAConfirmedDocumentNothingIsAdmitted) {
   harness.follow();
   declareBoth();
   const auto waits = request("safe", "r1", "k1");
@@ -126,8 +126,8 @@
   CHECK_TRUE(harness.gateway.ready());
 }
 
-/// 503 and never 401: the gateway can't know.
-TEST(KeyAdmissionTest, aLeaseThatHasEndedRefusesAllThatNeedAKey) {
+/// The status is 503 and never 401: the gateway can't know whether the key is valid.
+TEST(KeyAdmissionTest, anExpiredLeaseRefusesAllRequestsThatNeedAKey) {
   begin();
   harness.scheduler.advance(4499ms);
   CHECK_EQUAL(503, request("safe", "r1", "k3")->status);
@@ -142,37 +142,38 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-/// The answer may be seconds late: it is as old as its question.
-TEST(KeyAdmissionTest, theLeaseCountsFromTheQuestion) {
+/// An answer may be seconds late: its age counts from its request.
+TEST(KeyAdmissionTest, theLeaseCountsFromItsRequest) {
   harness.follow();
   declareBoth();
-  const std::uint64_t question = harness.link.questions.front().sequence;
-  harness.scheduler.wakeAfter(4s);
-  harness.gateway.documentConfirmed({question, 1});
-  harness.scheduler.wakeAfter(600ms);
+  const std::uint64_t confirmSequence = harness.link.confirmRequests.front().sequence;
+  harness.scheduler.suspendFor(4s);
+  harness.gateway.documentConfirmed({confirmSequence, 1});
+  harness.scheduler.suspendFor(600ms);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
 }
 
-TEST(KeyAdmissionTest, afterASuspensionTheLeaseIsJudgedByTheTimeThatWasSlept) {
+TEST(KeyAdmissionTest, theLeaseExpiresDuringASuspension) {
   begin();
-  harness.scheduler.wakeAfter(5s);
+  harness.scheduler.suspendFor(5s);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
 }
 
-/// The loop has read its clock, and then the machine sleeps; the request was sent meanwhile.
+/// The machine is suspended after the loop has read its clock, and the request is sent during the
+/// suspension.
 TEST(KeyAdmissionTest, theClockIsReadAfterTheRequestHasCome) {
   begin();
-  harness.scheduler.sleepInTurn(5s);
+  harness.scheduler.suspendWithinIteration(5s);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(KeyAdmissionTest, aConfirmationOfANewerDocumentCountsOnceThatIsHeld) {
+TEST(KeyAdmissionTest, aConfirmationOfANewerDocumentCountsOnceItIsHeld) {
   begin();
-  harness.scheduler.wakeAfter(4s);
+  harness.scheduler.suspendFor(4s);
   harness.gateway.leaderFollowed(false);
   confirm(2);
-  harness.scheduler.wakeAfter(600ms);
+  harness.scheduler.suspendFor(600ms);
   CHECK_EQUAL(503, request("safe", "r1", "k1")->status);
   declare(2, {tenant("two", {"k1"})});
   const auto caller = request("safe", "r2", "k1");
@@ -180,8 +181,8 @@
   STRCMP_EQUAL("two", lastSent().headers.find("Tenant")->c_str());
 }
 
-/// A newer document may have the key.
-TEST(KeyAdmissionTest, aGatewayThatIsBehindRefusesNoKeyAsUnknown) {
+/// A newer document may contain the key.
+TEST(KeyAdmissionTest, aGatewayWithAnOutdatedDocumentRefusesNoKeyAsUnknown) {
   begin();
   registry::ViewUpdate update;
   update.documentVersion = 2;
@@ -191,15 +192,15 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(KeyAdmissionTest, aDocumentThatNeedsNoKeysAsksNobody) {
+TEST(KeyAdmissionTest, aDocumentWithoutKeysNeedsNoConfirmation) {
   harness.follow();
   harness.declare(1);
   harness.advanceFollowing(3s);
-  CHECK(harness.link.questions.empty());
+  CHECK(harness.link.confirmRequests.empty());
   CHECK(harness.link.quotas.empty());
 }
 
-TEST(KeyAdmissionTest, theTenantsPriorityGoesBeforeTheRoutes) {
+TEST(KeyAdmissionTest, theTenantsPriorityOverridesTheRoutes) {
   harness.follow();
   declareBoth();
   confirm(1);
@@ -218,8 +219,8 @@
 declare(1, {limited});
 confirm(1);
 }
-/// A request is paid, and as much is held as the next one costs.
-std::unique_ptr<Caller> payAndHold() {
+/// Spends the cost of one request, and leaves as much quota held as the next one costs.
+std::unique_ptr<Caller> spendAndHold() {
   beginLimited();
   auto caller = request("safe", "r1", "k1", "50");
   grant(100);
@@ -233,7 +234,7 @@
 }
 ;
 
-TEST(QuotaAdmissionTest, aRequestWaitsForItsGrantAndIsSentWithIt) {
+TEST(QuotaAdmissionTest, aRequestIsSentOnceItsQuotaIsGranted) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1", "50");
   CHECK_EQUAL(0, sentCount());
@@ -242,21 +243,21 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, whatIsHeldPaysWithoutAsking) {
-  const auto first = payAndHold();
-  const std::size_t asked = harness.link.quotas.size();
+TEST(QuotaAdmissionTest, heldQuotaIsUsedWithoutAskingTheLeader) {
+  const auto first = spendAndHold();
+  const std::size_t requestCount = harness.link.quotas.size();
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(2, sentCount());
-  CHECK_EQUAL(asked, harness.link.quotas.size());
+  CHECK_EQUAL(requestCount, harness.link.quotas.size());
 }
 
-TEST(QuotaAdmissionTest, aRequestWithoutACountOfTokensCountsAsAPlainOne) {
+TEST(QuotaAdmissionTest, aRequestWithoutATokenCountCostsTheDefault) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1");
   DOUBLES_EQUAL(20, harness.link.quotas.back().claims.at(0).needed, 0.1);
 }
 
-TEST(QuotaAdmissionTest, whatIsOverTheQuotaIsRefusedAtOnceWithWhenToComeBack) {
+TEST(QuotaAdmissionTest, aRequestOverQuotaIsRefusedWithRetryAfter) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
   grant(50);
@@ -267,8 +268,8 @@
   STRCMP_EQUAL("0.50", second->headers.find("Retry-After")->c_str());
 }
 
-/// The leader did not know of it when it answered.
-TEST(QuotaAdmissionTest, aRequestThatCameAfterTheQuestionWaitsForTheNextAnswer) {
+/// The leader did not know of the request when it answered.
+TEST(QuotaAdmissionTest, aRequestNotCoveredByAGrantWaitsForTheNextOne) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
   const std::uint64_t sequence = harness.link.quotas.back().sequence;
@@ -281,7 +282,7 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, withoutAnAnswerItIsNotSaidToBeOver) {
+TEST(QuotaAdmissionTest, withoutAGrantTheRefusalIsNotForExceedingTheQuota) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1", "50");
   harness.advanceFollowing(600ms);
@@ -289,22 +290,22 @@
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(QuotaAdmissionTest, whatIsHeldEndsWithItsLease) {
-  const auto first = payAndHold();
-  harness.scheduler.wakeAfter(registry::kQuotaLease);
+TEST(QuotaAdmissionTest, heldQuotaExpiresWithItsLease) {
+  const auto first = spendAndHold();
+  harness.scheduler.suspendFor(registry::kQuotaLease);
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(1, sentCount());
 }
 
-/// The lease on keys outlasts that on what is held.
-TEST(QuotaAdmissionTest, whatIsHeldIsJudgedByTheClockReadAfterTheRequestHasCome) {
-  const auto first = payAndHold();
-  harness.scheduler.sleepInTurn(registry::kQuotaLease);
+/// The lease on the document lasts longer than that on held quota, so only the latter expires here.
+TEST(QuotaAdmissionTest, heldQuotaExpiresByTheClockReadAfterTheRequestHasCome) {
+  const auto first = spendAndHold();
+  harness.scheduler.suspendWithinIteration(registry::kQuotaLease);
   const auto second = request("safe", "r2", "k1", "50");
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, aRequestThatDidNotRunIsGivenBack) {
+TEST(QuotaAdmissionTest, theCostOfARequestThatDidNotRunIsRefunded) {
   beginLimited();
   const auto first = request("safe", "r1", "k1", "50");
   grant(50);
@@ -318,7 +319,7 @@
   CHECK_EQUAL(sent + 1, sentCount());
 }
 
-TEST(QuotaAdmissionTest, aCallerThatLeavesIsNotWaitedFor) {
+TEST(QuotaAdmissionTest, aDisconnectedCallersRequestIsNotSent) {
   beginLimited();
   const auto caller = request("safe", "r1", "k1", "50");
   caller->gone();
--- a/test/gateway/registry_session_test.cpp
+++ b/test/gateway/registry_session_test.cpp
@@ -1,4 +1,4 @@
-/// Finding and following the registry's leader.
+/// Tests of finding and following the registry's leader.
 
 #include "gateway/registry_session.h"
 
@@ -42,7 +42,7 @@
     session = std::make_unique<RegistrySession>(options, scheduler, link, log, 1);
     session->start();
   }
-  /// The server asked last accepts, as connection `number`.
+  /// Opens the connection `number` to the server contacted last.
   void accept(std::uint64_t number) {
     session->opened({number}, link.opens.back(), registry::kFeatureLevel);
   }
@@ -53,8 +53,8 @@
 };
 
 TEST(RegistrySessionTest, allServersAreTriedUntilOneLeads) {
-  for (std::size_t tried = 1; tried <= 6; ++tried) {
-    CHECK_EQUAL(tried, link.opens.size());
+  for (std::size_t attempt = 1; attempt <= 6; ++attempt) {
+    CHECK_EQUAL(attempt, link.opens.size());
     session->openFailed(link.opens.back());
     scheduler.advance(options.retryPauseMax);
   }
@@ -72,14 +72,14 @@
   CHECK_TRUE(session->following());
 }
 
-TEST(RegistrySessionTest, theNamedLeaderIsAskedNext) {
+TEST(RegistrySessionTest, theNamedLeaderIsContactedNext) {
   accept(1);
   session->notLeading({1}, {{server(8), server(9)}, server(9)});
   scheduler.advance(1ms);
   CHECK_TRUE(link.opens.back() == server(9));
 }
 
-TEST(RegistrySessionTest, aSilentLeaderIsLeft) {
+TEST(RegistrySessionTest, anUnresponsiveLeaderIsAbandoned) {
   follow(1);
   scheduler.advance(800ms);
   CHECK_TRUE(session->viewReceived({1}, {}));
@@ -91,7 +91,7 @@
   CHECK_EQUAL(2, link.opens.size());
 }
 
-TEST(RegistrySessionTest, viewsOfAFormerServerAreNotTaken) {
+TEST(RegistrySessionTest, viewsOfAPreviousConnectionAreIgnored) {
   follow(1);
   session->closed({1});
   scheduler.advance(100ms);
@@ -99,8 +99,8 @@
   CHECK_FALSE(session->viewReceived({1}, {}));
 }
 
-/// While nobody leads, gateways must not take the servers' time from the election.
-TEST(RegistrySessionTest, roundsWithoutALeaderAreSpacedFurtherAndFurther) {
+/// Without a leader, gateways must not slow down the election by their connections.
+TEST(RegistrySessionTest, searchRoundsWithoutALeaderBackOff) {
   std::vector<std::size_t> opensBySecond;
   for (int second = 0; second < 4; ++second) {
     const std::size_t before = link.opens.size();
@@ -114,8 +114,8 @@
   CHECK_TRUE(opensBySecond.back() <= 6);
 }
 
-TEST(RegistrySessionTest, onceALeaderWasFollowedTheSearchIsQuickAgain) {
-  for (int tried = 0; tried < 20; ++tried) {
+TEST(RegistrySessionTest, followingALeaderResetsTheBackoff) {
+  for (int attempt = 0; attempt < 20; ++attempt) {
     session->openFailed(link.opens.back());
     scheduler.advance(options.retryPauseMax);
   }
@@ -126,8 +126,8 @@
   CHECK_EQUAL(before + 1, link.opens.size());
 }
 
-/// A long document on a slow link is no silence.
-TEST(RegistrySessionTest, partsOfADocumentShowThatTheLeaderIsThere) {
+/// A long document on a slow link must not look like an unresponsive leader.
+TEST(RegistrySessionTest, partsOfADocumentCountAsSignsOfLife) {
   follow(1);
   for (int part = 0; part < 5; ++part) {
     scheduler.advance(800ms);
@@ -137,12 +137,12 @@
   CHECK_FALSE(session->partReceived({2}));
 }
 
-TEST(RegistrySessionTest, partsBeforeTheFirstViewAreNotTaken) {
+TEST(RegistrySessionTest, partsBeforeTheFirstViewAreIgnored) {
   accept(1);
   CHECK_FALSE(session->partReceived({1}));
 }
 
-TEST(RegistrySessionTest, serversThatNameEachOtherAreAskedWithPauses) {
+TEST(RegistrySessionTest, serversThatNameEachOtherAreContactedWithBackoff) {
   std::uint64_t number = 0;
   for (int step = 0; step < 1000; ++step) {
     if (link.opens.size() > number) {
--- a/test/gateway/wake_order_test.cpp
+++ b/test/gateway/wake_order_test.cpp
@@ -1,4 +1,5 @@
-/// Requests that wait for a model are sent in the order of their arrival once a worker has it.
+/// Test that requests waiting for a model are sent in the order of their arrival once a worker
+/// holds it.
 
 #include "gateway/gateway_harness.h"
 
@@ -11,7 +12,7 @@
 
 TEST_GROUP(WakeOrderTest) { GatewayHarness harness; };
 
-TEST(WakeOrderTest, theFirstToComeIsTheFirstToBeSent) {
+TEST(WakeOrderTest, waitingRequestsAreSentInTheOrderOfArrival) {
   harness.declare(1);
   harness.follow();
   constexpr std::size_t kCallers = 40;
