--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -7,11 +7,11 @@
 using base::ErrorCode;
 
 namespace {
-/// When to come back to a router that stops or can't confirm its configuration: there may be
-/// another one, and a cell elects a leader within a second or two.
+/// Retry delay for callers of a router that is shutting down or cannot confirm its configuration:
+/// another router may be available, and a cell elects a leader within one or two seconds.
 constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
 constexpr base::Duration kMinRetryAfter = std::chrono::milliseconds(100);
-/// Clocks of callers may be ahead by this much, as the cell allows (claimClockSkew).
+/// Maximum lead of a caller's clock; the cell allows the same (claimClockSkew).
 constexpr base::Duration kMaxClockSkew = std::chrono::seconds(30);
 
 Refusal final(ErrorCode code, const char* field, const char* detail) {
@@ -89,14 +89,15 @@
   }
   Target& observed = core_.targets[caller.target];
   if (core_.queue.target(caller.target).size() == 0 && core_.now >= observed.refusedDemandUntil) {
-    observed.coldSince.reset();  // No demand was reported lately: nothing is being loaded.
+    observed.coldSince.reset();  // No recent demand was reported, so nothing is being loaded.
   }
   const base::Duration wait = waitEstimate(caller.target, caller.priority);
   if (core_.now + wait < deadline) {
     return std::nullopt;
   }
   if (!core_.view.hasReadyReplica(*core_.view.resolve(caller.target))) {
-    // Without this demand a model whose callers have short deadlines would never be loaded.
+    // Reports demand although the request is refused: otherwise a model whose callers have short
+    // deadlines would never be loaded.
     observed.coldSince = observed.coldSince.value_or(core_.now);
     observed.refusedDemandUntil = std::max(observed.refusedDemandUntil, core_.now + 2 * wait);
     observed.refusedPriority = caller.priority;
--- a/src/routing/attempt_handler.cpp
+++ b/src/routing/attempt_handler.cpp
@@ -8,15 +8,15 @@
 using engine::GenerateFailed;
 
 namespace {
-/// A time-out that fires later than this means that the process did not run.
+/// A time-out that fires later than this shows that the process was frozen.
 constexpr base::Duration kFreezeThreshold = std::chrono::seconds(1);
 constexpr base::Duration kThawGrace = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxBackoffDoublings = 16;
-/// How long a retry waits for the budget. Two windows: by the second, the retries that used it up
-/// no longer count.
+/// Maximum time for which a retry waits for the budget. After two windows, the retries that
+/// exhausted the budget no longer count.
 constexpr base::Duration kMaxBudgetWait = 2 * RetryBudget::kWindow;
 
-/// @return whether the error tells of the engine's health. An engine that answers is healthy.
+/// @return whether the error indicates a fault of the engine. An engine that answers is healthy.
 bool isEngineFault(ErrorCode code) {
   switch (code) {
     case ErrorCode::engineOverloaded:
@@ -32,8 +32,8 @@
   }
 }
 
-/// @return whether there was no replica to attempt the request: its engine is gone, is leaving, or
-/// has lost it, and the cell has yet to learn of it.
+/// @return whether no replica was there to attempt the request: its engine is gone, is leaving, or
+/// has lost the replica, and the cell has yet to detect it.
 bool metNoReplica(ErrorCode code) {
   return code == ErrorCode::connectFailed || code == ErrorCode::engineLeaving ||
          code == ErrorCode::modelNotLoaded;
@@ -66,8 +66,8 @@
   }
   request.machine.enter(RequestState::streaming);
   core_.selector.succeeded(request.attempt->engine);
-  core_.dispatchDue.insert(request.caller.target);  // The breaker may have closed.
-  lifecycle_.dropMove(request);                     // The new engine has read the export.
+  core_.dispatchDue.insert(request.caller.target);  // The circuit breaker may have closed.
+  lifecycle_.dropMove(request);                     // The new engine has imported the export.
   const resource::Engine* engine = core_.view.engine(request.attempt->engine);
   if (engine != nullptr && engine->reclaimAt.has_value()) {
     lifecycle_.setMoveAt(request, core_.now);
@@ -133,7 +133,7 @@
 void AttemptHandler::handle(Request& request, const engine::GenerateFailed& event) {
   const bool exporting = request.machine.state() == RequestState::exporting;
   if (exporting && !request.move->offset.has_value()) {
-    request.move->sourceFailed = true;  // The engine's answer to the export is still awaited.
+    request.move->sourceFailed = true;  // The engine's answer to the export is still pending.
     return;
   }
   if (event.started == GenerateFailed::Started::yes) {
@@ -162,7 +162,7 @@
   if (RequestLifecycle::mayBeSentAgain(request)) {
     return true;
   }
-  // An exported run that the other engine did not take up is still the same run.
+  // An exported run that the other engine did not resume is still the same run.
   return request.move != nullptr && request.move->detached && !request.machine.attemptMayHaveRun();
 }
 
@@ -175,7 +175,7 @@
   request.failedEngine = engine;
   lifecycle_.release(request, failure.end);
   if (request.caller.repeatable || request.machine.attemptMayHaveRun()) {
-    lifecycle_.dropMove(request);  // What is repeatable is better recomputed than imported again.
+    lifecycle_.dropMove(request);  // A repeatable request is recomputed rather than imported again.
   }
   const bool counted = !metNoReplica(failure.error.code) || request.machine.attemptMayHaveRun();
   request.failedAttempts += counted ? 1 : 0;
--- a/src/routing/attempt_handler.h
+++ b/src/routing/attempt_handler.h
@@ -1,38 +1,40 @@
 #pragma once
 /// @file
-/// What engines answer to attempts, and what follows from failures.
+/// Handling of engine events for attempts, and of failed attempts.
 
 #include "routing/request_lifecycle.h"
 
 namespace walnut::routing {
 
-/// How an attempt failed.
+/// Failure of an attempt.
 struct AttemptFailure {
   base::Error error;
-  bool engineFault = false;  ///< Counts for the engine's breaker.
+  bool engineFault = false;  ///< Counts as a failure in the engine's circuit breaker.
   AttemptEnd end = AttemptEnd::byEngine;
 };
 
-/// Retries a failed attempt if the request is repeatable, or the attempt is known not to have been
-/// started; within maxAttempts and the retry budget. An attempt that met no replica counts against
-/// neither: it was no work for any engine, and the engine's breaker, or the time for which the
-/// engine is avoided, bounds how many follow. Its request waits for a replica until its deadline.
-/// A retry beyond the budget waits for it, for two of its windows at most: many streams that break
-/// at once, by the loss of a zone, are resumed at the budget's rate. Only the refusals of
-/// overloaded engines are passed on at once. A repeatable request whose tokens were delivered goes
-/// on after them. Events of other attempts than the present one are discarded.
+/// Handles the events of attempts and retries failed attempts if the request is repeatable or the
+/// attempt is known not to have been started, within maxAttempts and the retry budget. An attempt
+/// that found no replica counts against neither: it cost no engine any work, and the engine's
+/// circuit breaker, or the time for which the engine is avoided, limits how many follow. Its
+/// request waits for a replica until its deadline. A retry beyond the budget waits for it, for at
+/// most two of its windows: many streams that break at once, e.g. by the loss of a zone, are
+/// resumed at the rate of the budget. Only refusals by overloaded engines are passed on to the
+/// caller at once. A repeatable request whose tokens were partly delivered continues after the last
+/// one. Events of attempts other than the current one are discarded.
 class AttemptHandler {
  public:
   AttemptHandler(RouterCore& core, RequestLifecycle& lifecycle)
       : core_(core), lifecycle_(lifecycle) {}
 
   void event(const engine::GenerateEvent& event);
-  /// Time-out of the states `starting` and `streaming`, end of `backingOff`.
+  /// Handles the time-out of states `starting` and `streaming`, and the end of `backingOff`.
   void phaseOver(Request& request);
   void fail(Request& request, const AttemptFailure& failure);
-  /// The export is there and all tokens below its offset too: goes on elsewhere.
+  /// Continues the request at another engine. The export and all tokens below its offset have
+  /// arrived.
   void detach(Request& request);
-  /// Runs the rest of a repeatable request elsewhere, without an export.
+  /// Runs the remainder of a repeatable request on another engine, without an export.
   void recompute(Request& request);
 
  private:
@@ -44,15 +46,15 @@
   void enterStreaming(Request& request);
   void noteRefusal(const base::EngineId& engine, base::ErrorCode code);
   bool mayRunAgain(const Request& request) const;
-  /// Retries the request, at once or as soon as the budget allows, or gives it up.
+  /// Retries the request at once or as soon as the budget allows, or refuses it.
   void retry(Request& request, const base::Error& error);
-  /// The request asks the retry budget again.
+  /// Checks the retry budget again for a request that waits for it.
   void retryPending(Request& request);
   void backOff(Request& request, std::uint32_t doublings);
   base::Duration drawnBackoff(base::Duration ceiling);
   void giveUp(Request& request, const base::Error& error);
-  /// Extends a time-out once if it fired late, i.e. this process was frozen: what the engine sent
-  /// meanwhile is yet to be read.
+  /// Extends a time-out once if it fired late, which means that this process was frozen: events
+  /// that the engine sent meanwhile have not been read yet.
   bool extendAfterFreeze(Request& request);
 
   RouterCore& core_;
--- a/src/routing/circuit_breaker.h
+++ b/src/routing/circuit_breaker.h
@@ -8,30 +8,32 @@
 
 namespace walnut::routing {
 
-/// Transitions:
-///   closed   -> open (consecutive failures)     open -> halfOpen (time passed, trial taken)
+/// State of a circuit breaker. Transitions:
+///   closed   -> open (consecutive failures)     open -> halfOpen (time passed, trial started)
 ///   halfOpen -> closed (trial succeeded) | open (trial failed)
 enum class BreakerState : std::uint8_t { closed, open, halfOpen };
 
+/// Blocks attempts at an engine after consecutive failures, until a trial succeeds.
 class CircuitBreaker {
  public:
   BreakerState state() const { return state_; }
 
-  /// @return whether an attempt may be made now; in `open`, once the time has passed, the trial.
+  /// @return whether an attempt may be made now. In state `open`, once the time has passed, this
+  /// attempt is the trial.
   bool allows(base::TimePoint now) const {
     return state_ == BreakerState::closed || (state_ == BreakerState::open && now >= openUntil_);
   }
-  /// @return when to ask again while `allows` is false: a trial under way may end at any time.
+  /// @return when to check again while `allows` is false. A trial in progress may end at any time.
   base::TimePoint allowsAt() const {
     return state_ == BreakerState::open ? openUntil_ : base::TimePoint();
   }
-  /// An attempt is made.
+  /// Records that an attempt is made.
   void attempted() {
     if (state_ == BreakerState::open) {
       state_ = BreakerState::halfOpen;
     }
   }
-  /// The engine runs an attempt.
+  /// Records that the engine runs an attempt.
   void succeeded() {
     state_ = BreakerState::closed;
     failures_ = 0;
@@ -43,8 +45,8 @@
       openUntil_ = now + openFor;
     }
   }
-  /// An attempt ended without telling anything of the engine's health, e.g. by the caller. A trial
-  /// that ended so may be taken again.
+  /// Records that an attempt ended without an indication of the engine's health, e.g. by the
+  /// caller. If it was the trial, another trial may start.
   void undecided(base::TimePoint now) {
     if (state_ == BreakerState::halfOpen) {
       state_ = BreakerState::open;
--- a/src/routing/claim_client.cpp
+++ b/src/routing/claim_client.cpp
@@ -5,9 +5,10 @@
 namespace walnut::routing {
 
 namespace {
-/// Longer than a commit takes in a healthy cell, shorter than claimTimeout by several times.
+/// Retry interval: longer than a commit takes in a healthy cell, and several times shorter than
+/// claimTimeout.
 constexpr base::Duration kAskAgainAfter = std::chrono::milliseconds(500);
-/// After the answer that no leader could be asked.
+/// Retry interval after an answer that no leader was available.
 constexpr base::Duration kUnavailableBackoff = std::chrono::milliseconds(100);
 }  // namespace
 
--- a/src/routing/claim_client.h
+++ b/src/routing/claim_client.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Claims of idempotency keys at the cell's leader.
+/// Client for claims of idempotency keys at the cell's leader.
 
 #include <map>
 #include <optional>
@@ -9,29 +9,31 @@
 
 namespace walnut::routing {
 
-/// Outcome of one answer for a waiting request.
+/// Outcome of a claim for a waiting request.
 struct ClaimAnswer {
   Request* request = nullptr;
   control::ClaimOutcome outcome = control::ClaimOutcome::unavailable;
 };
 
-/// Asks again while no answer is there, until claimTimeout: the cell grants a key again to the
-/// same request id, so asking twice does no harm. An unanswered claim may have been made. A request
-/// that is refused with claimUnavailable was not run, but a resend with the same key may be
-/// answered with duplicateRequest; a caller that was told "not run" may use a new key.
+/// Claims idempotency keys and retries without an answer until claimTimeout: the cell grants a key
+/// again to the same request id, so a repeated claim does no harm. An unanswered claim may have
+/// been granted. A request that is refused with claimUnavailable was not executed, but a resend
+/// with the same key may be answered with duplicateRequest; a caller whose request was reported as
+/// not executed may use a new key.
 class ClaimClient {
  public:
   ClaimClient(RouterCore& core, RequestLifecycle& lifecycle) : core_(core), lifecycle_(lifecycle) {}
 
-  /// The request entered state `claiming`.
+  /// Starts the claim of a request that entered state `claiming`.
   void begin(Request& request);
-  /// The time-out of state `claiming` passed. @return false if the claim is to be given up.
+  /// Handles the time-out of state `claiming`.
+  /// @return false if the claim has to be given up.
   bool askAgain(Request& request);
-  /// A leader is known and connected: asks it for all open claims.
+  /// Sends all open claims to a leader that is now known and connected.
   void leaderChanged();
-  /// @return nothing if no request waits for this answer, or another answer is still possible.
+  /// @return nothing if no request waits for this answer, or if another answer is still possible.
   std::optional<ClaimAnswer> reply(const protocol::ClaimReply& reply);
-  /// The request waits no longer. To be called before it leaves state `claiming`.
+  /// Removes a request that no longer waits. Must be called before it leaves state `claiming`.
   void forget(Request& request);
 
  private:
--- a/src/routing/cluster_view.cpp
+++ b/src/routing/cluster_view.cpp
@@ -42,7 +42,7 @@
     return ApplyResult::gap;
   }
   Collecting& collecting = found->second;
-  ViewChange untold;  // Everything is told of after the last page.
+  ViewChange untold;  // After the last page everything is reported as changed.
   for (const protocol::Change& change : page.changes) {
     collecting.contents.apply(change, untold);
   }
--- a/src/routing/cluster_view.h
+++ b/src/routing/cluster_view.h
@@ -11,47 +11,49 @@
 
 namespace walnut::routing {
 
-/// What became of a watch message.
+/// Result of applying a watch message.
 enum class ApplyResult : std::uint8_t {
-  applied,  ///< The view is now as of the message's index (or holds the page).
-  ignored,  ///< Older than the view.
-  gap,      ///< Changes before the message are missing: ask again from the view's index.
+  applied,  ///< The view reached the message's index (or holds the page).
+  ignored,  ///< The message is older than the view.
+  gap,      ///< Changes before the message are missing: watch again from the view's index.
 };
 
-/// Invariant: the index never decreases, whichever controller sends. A snapshot takes effect as a
-/// whole after its last page.
+/// Versioned copy of the cell's configuration. Invariant: the index never decreases, whichever
+/// controller sends. A snapshot takes effect as a whole after its last page.
 class ClusterView {
  public:
   ApplyResult applyDelta(const protocol::WatchDelta& delta);
   ApplyResult applyPage(protocol::ConnectionId connection, const protocol::WatchSnapshotPage& page);
-  /// Drops the pages collected from a connection that is gone.
+  /// Drops the snapshot pages received over a connection that was closed.
   void forgetPages(protocol::ConnectionId connection) { collecting_.erase(connection); }
 
   consensus::LogIndex index() const { return index_; }
-  /// @return the index as of which servedNames last changed, or may have.
+  /// @return the index at which servedNames last changed, or may have changed.
   consensus::LogIndex namesIndex() const { return namesIndex_; }
   const consensus::Membership& membership() const { return contents_.membership(); }
   consensus::LogIndex membershipIndex() const { return contents_.membershipIndex(); }
 
-  /// @return what a model's or adapter's name stands for now; nothing if it isn't served.
+  /// @return the servable that the name of a model or adapter currently refers to; nothing if it
+  /// isn't served.
   std::optional<resource::Servable> resolve(const std::string& target) const {
     return contents_.resolve(target);
   }
-  /// @return whether the servable's version is declared, be it the active one or not.
+  /// @return whether the servable's version is declared, whether it is the active one or not.
   bool declaresVersion(const resource::Servable& servable) const {
     return contents_.declaresVersion(servable);
   }
-  /// @return replicas ready on engines that are live, not drained and of the same incarnation, in
-  /// order of their ids. Valid until the next message is applied.
+  /// @return the replicas that are ready on engines which are live, not drained and of the same
+  /// incarnation, sorted by id. Valid until the next message is applied.
   const std::vector<ReadyReplica>& readyReplicas(const resource::Servable& servable) const {
     return contents_.readyReplicas(servable);
   }
   bool hasReadyReplica(const resource::Servable& servable) const {
     return !readyReplicas(servable).empty();
   }
-  /// @return nullptr if the engine isn't known. Its accelerators are not kept.
+  /// @return the engine without its accelerators, which are not stored; nullptr if it isn't known.
   const resource::Engine* engine(const base::EngineId& id) const { return contents_.engine(id); }
-  /// @return engines that are live and not drained, by id. Valid until the next message is applied.
+  /// @return the engines that are live and not drained, by id. Valid until the next message is
+  /// applied.
   std::vector<const resource::Engine*> enginesThatTakeWork() const {
     return contents_.enginesThatTakeWork();
   }
@@ -59,12 +61,12 @@
   bool takesWork(const resource::Engine& engine) const { return contents_.takesWork(engine); }
   std::vector<ServedName> servedNames() const { return contents_.servedNames(); }
 
-  /// @return what changed since the last call.
+  /// @return the changes since the previous call.
   ViewChange takeChange();
 
  private:
-  /// A whole state of which not all pages have come. Each page is applied as it comes, since a
-  /// list of all changes would take more memory than the state itself.
+  /// Snapshot whose pages have not all arrived. Each page is applied on arrival, since a list of
+  /// all changes would take more memory than the state itself.
   struct Collecting {
     consensus::LogIndex index = 0;
     std::uint32_t nextPage = 0;
@@ -78,7 +80,7 @@
   ViewChange change_;
 };
 
-/// @return the name by which callers reach the servable.
+/// @return the name by which callers request the servable.
 const std::string& targetName(const resource::Servable& servable);
 
 }  // namespace walnut::routing
--- a/src/routing/controller_sessions.cpp
+++ b/src/routing/controller_sessions.cpp
@@ -8,11 +8,12 @@
 namespace {
 constexpr base::Duration kReopenMin = std::chrono::milliseconds(50);
 constexpr base::Duration kReopenMax = std::chrono::seconds(2);
-/// How long members may be out of reach before the configured controllers are asked as well.
+/// Time for which all members may be unreachable before the configured controllers are tried as
+/// well.
 constexpr base::Duration kFallbackAfter = std::chrono::seconds(2);
-/// How long a controller of the same zone is waited for before another one is watched.
+/// Time to wait for a controller of the same zone before another one is watched.
 constexpr base::Duration kSameZoneGrace = std::chrono::milliseconds(200);
-/// How long a controller that was behind is the last choice.
+/// Time for which a controller that lagged behind is the last choice.
 constexpr base::Duration kAvoidWatchFor = std::chrono::seconds(10);
 constexpr std::uint32_t kMaxBackoffDoublings = 8;
 }  // namespace
@@ -79,7 +80,7 @@
     return;
   }
   if (watched_ == event.endpoint) {
-    watched_.reset();  // The watch ended with the former connection.
+    watched_.reset();  // The watch ended with the previous connection.
   }
   session.state = SessionState::connected;
   session.connection = event.connection;
@@ -146,7 +147,7 @@
 
 void ControllerSessions::checkFallback(base::TimePoint now) {
   if (members_.empty()) {
-    return;  // The configured controllers are wanted anyway.
+    return;  // The configured controllers are used anyway.
   }
   if (memberConnected()) {
     noMemberSince_ = base::kNever;
@@ -213,7 +214,7 @@
   session.avoidWatchUntil = now + kAvoidWatchFor;
   chooseWatch(now, viewIndex);
   if (watched_ != endpoint) {
-    // There is no message that ends a watch: a new connection does.
+    // No message ends a watch, so the connection is closed and opened again.
     actions_.emplace_back(CloseController{endpoint});
     backOff(now, session);
   }
--- a/src/routing/controller_sessions.h
+++ b/src/routing/controller_sessions.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Connections of a router to the controllers of its cell: which to keep open, which one to watch,
-/// and which one is the leader.
+/// Connections of a router to the controllers of its cell: selects which ones to keep open, which
+/// one to watch, and determines which one is the leader.
 
 #include <map>
 #include <optional>
@@ -15,46 +15,48 @@
 
 /// State of one session. Transitions:
 ///   opening -> connected | backingOff        connected -> backingOff
-///   backingOff -> opening (backoff over) | connected (a late success of the driver)
+///   backingOff -> opening (backoff over) | connected (late success of the driver)
 enum class SessionState : std::uint8_t { opening, connected, backingOff };
 
-/// The leader that is known and connected.
+/// Session with the leader, once it is known and connected.
 struct LeaderSession {
   protocol::ConnectionId connection;
   consensus::Term term = 0;
   bool operator==(const LeaderSession&) const = default;
 };
 
-/// Invariant: there is a session for each wanted endpoint and no other. Wanted are the members of
-/// the cell; until the membership is known, and while none of its members can be reached, also
-/// the configured controllers.
+/// Manages the sessions with the controllers. Invariant: there is a session for each wanted
+/// endpoint and no other. The wanted endpoints are those of the cell's members; until the
+/// membership is known, and while none of its members can be reached, also those of the configured
+/// controllers.
 class ControllerSessions {
  public:
-  /// @param actions receives the outputs; outlives this object.
+  /// @param actions receives the outputs; must outlive this object.
   ControllerSessions(const RouterOptions& options, base::RouterId id, base::Random& random,
                      std::vector<RouterAction>& actions);
 
   void start(base::TimePoint now);
   void connected(base::TimePoint now, const ControllerConnected& event,
                  consensus::LogIndex viewIndex);
-  /// @return the connection that is gone, if there was one.
+  /// @return the connection that was closed, if there was one.
   std::optional<protocol::ConnectionId> disconnected(base::TimePoint now,
                                                      const base::Endpoint& endpoint);
   void membershipChanged(base::TimePoint now, const consensus::Membership& membership);
-  /// Learns the leader from the reply with the greatest term.
+  /// Determines the leader from the reply with the greatest term.
   void probeReply(const protocol::ProbeReply& reply);
-  /// The watched controller withholds committed changes: watch another one, if there is one.
+  /// Switches to another controller, if there is one, because the watched one does not send
+  /// committed changes.
   void watchIsBehind(base::TimePoint now, consensus::LogIndex viewIndex);
-  /// Asks the watched controller again from the view's index.
+  /// Restarts the watch at the watched controller from the view's index.
   void renewWatch(base::TimePoint now, consensus::LogIndex viewIndex);
-  /// Carries out what is due.
+  /// Runs the timers that are due.
   void tick(base::TimePoint now, consensus::LogIndex viewIndex);
   base::TimePoint nextWakeup() const;
 
   void sendToAll(const protocol::Message& message);
   std::optional<LeaderSession> leader() const;
   std::optional<base::Endpoint> watched() const { return watched_; }
-  /// @return when the present watch was asked for.
+  /// @return when the current watch was requested.
   base::TimePoint watchedSince() const { return watchedSince_; }
 
  private:
@@ -65,7 +67,7 @@
     base::ZoneId zone;
     std::uint32_t failures = 0;
     base::TimePoint reopenAt = base::kNever;
-    base::TimePoint avoidWatchUntil;  ///< It was behind until lately.
+    base::TimePoint avoidWatchUntil;  ///< Set when it lagged behind as the watched controller.
   };
 
   std::set<base::Endpoint> wanted() const;
@@ -87,7 +89,8 @@
   base::TimePoint noMemberSince_ = base::kNever;
   std::optional<base::Endpoint> watched_;
   base::TimePoint watchedSince_;
-  base::TimePoint chooseWatchAt_ = base::kNever;  ///< While waiting for one of the same zone.
+  base::TimePoint chooseWatchAt_ =
+      base::kNever;  ///< Set while waiting for a controller of the same zone.
   consensus::Term leaderTerm_ = 0;
   base::ServerId leader_;
 };
--- a/src/routing/demand_reporter.cpp
+++ b/src/routing/demand_reporter.cpp
@@ -5,15 +5,17 @@
 namespace walnut::routing {
 
 namespace {
-/// A repair of whatever went wrong unnoticed; nothing is known to need it.
+/// Interval of complete reports, which correct any undetected difference. No known fault needs
+/// them.
 constexpr base::Duration kCompleteInterval = std::chrono::seconds(30);
-/// Five chances within the leader's demandLifetime.
+/// Heartbeat interval: five reports within the leader's demandLifetime.
 constexpr base::Duration kAliveInterval = std::chrono::seconds(1);
-/// For what only keeps a replica from being unloaded as idle, which takes minutes.
+/// Interval for changes that only keep a replica from being unloaded as idle, which takes minutes.
 constexpr base::Duration kSlowInterval = std::chrono::seconds(5);
-/// Running requests count in replicas of 16 (control/target_planner): a smaller change is no news.
+/// Minimum change of the number of running requests that is reported at once. The planner converts
+/// them to replicas of 16 requests each (control/target_planner), so smaller changes don't matter.
 constexpr std::uint32_t kRunningStep = 4;
-/// Bounds urgent reports, so that a burst over many targets takes few messages.
+/// Minimum interval between urgent reports, so that a burst over many targets takes few messages.
 constexpr base::Duration kUrgentSpacing = std::chrono::milliseconds(10);
 
 bool waits(const protocol::Demand& demand) {
@@ -22,7 +24,7 @@
 
 bool isActive(const protocol::Demand& demand) { return waits(demand) || demand.running > 0; }
 
-/// @return whether the number of running requests differs by a half and by kRunningStep.
+/// @return whether the number of running requests changed by at least one half and by kRunningStep.
 bool runningChangedMuch(std::uint32_t former, std::uint32_t present) {
   const std::uint32_t difference = former < present ? present - former : former - present;
   return difference >= std::max(kRunningStep, former / 2);
@@ -122,7 +124,7 @@
     const std::optional<protocol::Demand> demand =
         target == targets.end() ? std::nullopt : entry(now, name, target->second, queue, view);
     if (!demand.has_value()) {
-      // Not served any more: a complete report takes it from the leader.
+      // No longer served: a complete report removes the entry at the leader.
       completeAt_ = reported_.contains(name) ? now : completeAt_;
       continue;
     }
@@ -147,7 +149,7 @@
   });
   std::map<resource::Servable, std::uint32_t> told = waiting;
   for (const auto& [servable, count] : reportedFormer_) {
-    told.try_emplace(servable, 0);  // Tells that none waits any more.
+    told.try_emplace(servable, 0);  // Reports that none is waiting any more.
   }
   for (const auto& [servable, count] : told) {
     const auto known = reportedFormer_.find(servable);
--- a/src/routing/demand_reporter.h
+++ b/src/routing/demand_reporter.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Reports to the cell's leader which targets have waiting or running requests here.
+/// Reports the demand of this router, i.e. its waiting and running requests by target, to the
+/// cell's leader.
 
 #include <map>
 #include <optional>
@@ -17,34 +18,35 @@
 
 namespace walnut::routing {
 
-/// What the leader decides by and how soon it has to know it:
+/// Sends demand reports, each part as soon as the leader needs it:
 /// - waiting requests, which may need a replica: within demandInterval;
-/// - running requests, which keep replicas and size their number: at once if the number changed
-///   much, else within seconds, since the engines' own reports show the leader what is in use;
-/// - everything that is waiting or running: to a new leader, and now and then.
-/// An empty report each second tells that the router is alive, since the leader drops the entries
-/// of a silent one. Demand is state: a repeated report adds nothing. Within a connection none is
-/// lost; a new connection or a new term of the leader begins with a complete one.
+/// - running requests, which keep replicas loaded and determine their number: at once if the number
+///   changed much, else within seconds, since the engines' own reports show the leader what is in
+///   use;
+/// - everything that is waiting or running: to a new leader, and periodically.
+/// An empty report each second is the router's heartbeat, since the leader drops the entries of an
+/// unresponsive router. Demand is state, so a repeated report adds nothing. Within a connection no
+/// report is lost; a new connection or a new term of the leader begins with a complete report.
 class DemandReporter {
  public:
   DemandReporter(const RouterOptions& options, base::RouterId id) : options_(options), id_(id) {}
 
   void changed(const std::string& target) { changed_.insert(target); }
-  /// A target got its first waiting request without a ready replica: report soon, together with
-  /// whatever else arrives within a few milliseconds.
+  /// Requests a report within milliseconds, because a target got its first waiting request without
+  /// a ready replica. Requests of the next few milliseconds share the report.
   void urgent(base::TimePoint now);
-  /// @param leader the leadership as far as it is known and connected.
+  /// @param leader the session with the leader, if it is known and connected.
   void leaderChanged(base::TimePoint now, const std::optional<LeaderSession>& leader);
   base::TimePoint nextWakeup() const { return nextAt_; }
 
-  /// Sends what is due to the leader.
-  /// @param selector whose outcomes are taken once they are sent.
+  /// Sends a report to the leader if one is due.
+  /// @param selector provides the outcomes, which are taken once they are sent.
   void tick(base::TimePoint now, const std::map<std::string, Target>& targets,
             const RequestQueue& queue, const ClusterView& view, const RequestTable& requests,
             EngineSelector& selector, std::vector<RouterAction>& actions);
 
  private:
-  /// The entry that the leader holds of a target.
+  /// Entry of a target as last reported to the leader.
   struct Reported {
     protocol::Demand demand;
     base::TimePoint at;
@@ -54,7 +56,7 @@
   std::optional<protocol::Demand> entry(base::TimePoint now, const std::string& name,
                                         const Target& target, const RequestQueue& queue,
                                         const ClusterView& view) const;
-  /// @return when the difference to what the leader holds has to be reported.
+  /// @return when the difference from the last reported entry has to be reported.
   Due dueOf(base::TimePoint now, const std::string& name, const protocol::Demand& demand) const;
   std::vector<protocol::Demand> allActive(base::TimePoint now,
                                           const std::map<std::string, Target>& targets,
@@ -63,18 +65,19 @@
                                                const std::map<std::string, Target>& targets,
                                                const RequestQueue& queue, const ClusterView& view);
 
-  /// Adds streams that have to go on with a former version, where the leader does not know them so.
+  /// Adds the streams that have to continue with a previous version, where the leader's count
+  /// differs.
   void addFormerVersions(const ClusterView& view, const RequestTable& requests, bool complete,
                          std::vector<protocol::Demand>& entries);
 
   const RouterOptions& options_;
   base::RouterId id_;
   std::optional<LeaderSession> leader_;
-  /// Targets whose entry may differ from the leader's. Those with waiting requests stay here: an
-  /// entry of a refused request changes by the passing of time alone.
+  /// Targets whose entry may differ from the leader's. Those with waiting requests stay here,
+  /// because the entry of a refused request expires without any event.
   std::set<std::string> changed_;
   std::map<std::string, Reported> reported_;
-  /// Streams that wait for a servable of a former version, as the leader knows them.
+  /// Number of streams that wait for a servable of a previous version, as last reported.
   std::map<resource::Servable, std::uint32_t> reportedFormer_;
   std::uint64_t sequence_ = 0;
   base::TimePoint nextAt_;
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -8,8 +8,9 @@
 using base::ErrorCode;
 
 namespace {
-/// When to look again while a breaker's trial is under way at the only engine.
+/// Polling interval while the circuit breaker's trial at the only engine is in progress.
 constexpr base::Duration kDispatchPoll = std::chrono::milliseconds(50);
+/// Retry delay for callers whose claim was not answered.
 constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
 }  // namespace
 
@@ -63,7 +64,7 @@
     core_.demand.urgent(core_.now);
   }
   if (!waiting && core_.now >= target.refusedDemandUntil) {
-    target.coldSince.reset();  // No demand is reported any more: the load may be given up.
+    target.coldSince.reset();  // Demand is no longer reported, so the load may be cancelled.
   }
 }
 
@@ -89,7 +90,8 @@
   }
   noteReadiness(name, core_.view.hasReadyReplica(*servable));
   if (!core_.mayServe()) {
-    // An engine may have begun to leave, or the model may have changed, without this router.
+    // An engine may have started to leave, or the model may have changed, without this router being
+    // informed.
     core_.dispatchWhenConfirmed.insert(name);
     setDispatchAt(name, base::kNever);
     return;
@@ -114,13 +116,13 @@
   std::size_t left = queue.size();
   for (auto entry = queue.entries().begin(); left > 0; --left) {
     Request& request = *entry->request;
-    ++entry;  // Invariant: `entry` is not the one that is taken out below.
+    ++entry;  // Invariant: `entry` is not the entry that is removed below.
     const resource::Servable wanted = request.pinned.value_or(current);
     if (blocked.contains(wanted)) {
       if (queueEntry(request).rank == QueueRank::resumed) {
         continue;
       }
-      break;  // All that follow want the current servable as well.
+      break;  // All following requests need the current servable as well.
     }
     if (request.prefixHashes.empty()) {
       request.prefixHashes = prefixHashes(wanted, request.caller.prompt);
@@ -172,7 +174,8 @@
     generate.kvSource = request.move->kvSource;
   }
   if (request.caller.repeatable) {
-    // Without the text no engine can recompute the tokens of a request that may not be repeated.
+    // The text is left out for a request that must not be repeated, so that no engine can recompute
+    // its tokens.
     generate.delivered = request.machine.deliveredText();
   }
   core_.actions.emplace_back(StartAttempt{attempt.engine, attempt.endpoint, std::move(generate)});
@@ -186,7 +189,7 @@
     case control::ClaimOutcome::granted:
       break;
     case control::ClaimOutcome::duplicate:
-      // Whether the other request with this key was run is not known here.
+      // It is not known here whether the other request with this key was executed.
       core_.actions.emplace_back(CallerRefused{
           request.caller.request,
           {ErrorCode::duplicateRequest, "idempotency_key", "claimed by another request"},
--- a/src/routing/engine_selector.cpp
+++ b/src/routing/engine_selector.cpp
@@ -7,17 +7,18 @@
 namespace walnut::routing {
 
 namespace {
-/// After this time a load report counts half: engines report with a lag of about a second, and
-/// requests take a few.
+/// Half-life of a load report: engines report with a lag of about one second, and requests take a
+/// few seconds.
 constexpr double kLoadHalfLifeSeconds = 2.0;
-/// A whole cached prompt outweighs this many requests; a part of it, its share. Large enough to
-/// steer, too small to pile all work of a popular prefix onto one engine.
+/// Number of requests that a fully cached prompt outweighs; a partly cached one counts in
+/// proportion. It is large enough to steer requests and too small to send all requests with a
+/// popular prefix to one engine.
 constexpr double kPrefixBonus = 4.0;
-/// How long an engine that did not have the replica is avoided: the time in which the cell learns
-/// of it and tells the routers.
+/// Time for which an engine that did not have the replica is avoided: in this time the cell detects
+/// it and notifies the routers.
 constexpr base::Duration kLacksReplicaOpenFor = std::chrono::seconds(1);
-/// Two random choices of this many are as good as of all; it bounds the cost of a choice among the
-/// replicas of a hot model.
+/// Number of replicas from which the two random candidates are drawn. They are as good as two of
+/// all replicas, and the limit bounds the cost of a selection among the replicas of a hot model.
 constexpr std::size_t kSampleSize = 32;
 }  // namespace
 
@@ -113,8 +114,8 @@
   }
 }
 
-/// @return the candidates among a run of kSampleSize replicas from a random one on, or, if that run
-/// has none, among all.
+/// @return the candidates among kSampleSize consecutive replicas that start at a random one, or, if
+/// these have none, among all.
 EngineSelector::Candidates EngineSelector::sample(base::TimePoint now,
                                                   const std::vector<ReadyReplica>& replicas,
                                                   const SelectionRequest& request) {
@@ -250,7 +251,7 @@
     engines_.erase(found);
     return;
   }
-  // Another life of the engine: only the count of places goes on.
+  // A new incarnation of the engine: only the count of running requests is kept.
   EngineState fresh;
   fresh.running = state.running;
   fresh.incarnation = known == nullptr ? base::Incarnation{} : known->incarnation;
--- a/src/routing/freshness_tracker.cpp
+++ b/src/routing/freshness_tracker.cpp
@@ -8,8 +8,8 @@
 namespace walnut::routing {
 
 namespace {
-/// Rounds kept that have no reached bound; answers to older ones are of no use any more, because
-/// the freshness limit is only a few probe intervals.
+/// Maximum number of rounds without a reached bound that are stored. Answers to older rounds are of
+/// no use, because the freshness limit is only a few probe intervals.
 constexpr std::size_t kMaxRounds = 64;
 }  // namespace
 
@@ -41,7 +41,7 @@
     }
     ++voters;
     const auto answer = round.answers.find(member.id);
-    // A server that knows a newer membership may be a voter of another majority.
+    // A server that knows a newer membership may be a voter of a different majority.
     if (answer != round.answers.end() && answer->second.membershipIndex <= view.membershipIndex()) {
       indexes.push_back(answer->second.lastLogIndex);
     }
--- a/src/routing/freshness_tracker.h
+++ b/src/routing/freshness_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decides whether a router's configuration is known to be current, from probes of the voters.
+/// Determines from probes of the voters whether a router's configuration is known to be current.
 
 #include <map>
 #include <optional>
@@ -13,26 +13,28 @@
 class ClusterView;
 
 /// Collects the answers to probe rounds. A round yields a bound once a majority of the voters has
-/// answered: the k-th smallest `lastLogIndex`, k being the size of a majority. Whatever was
-/// committed before the round was sent is in the log of at least one member of that majority, so a
-/// view that has reached the bound is current as of the time the round was sent. Needs no leader.
+/// answered: the k-th smallest `lastLogIndex`, where k is the size of a majority. Everything that
+/// was committed before the round was sent is in the log of at least one member of that majority,
+/// so a view that has reached the bound is current as of the time at which the round was sent. This
+/// needs no leader.
 class FreshnessTracker {
  public:
-  /// @param limit how long a confirmation holds.
+  /// @param limit validity period of a confirmation.
   explicit FreshnessTracker(base::Duration limit) : limit_(limit) {}
 
-  /// Begins a round. @return its sequence, for all its ProbeRequests.
+  /// Begins a round.
+  /// @return its sequence number, for all its ProbeRequests.
   std::uint64_t beginRound(base::TimePoint now);
   void reply(const protocol::ProbeReply& reply, const ClusterView& view);
-  /// To be called whenever the view's index or membership changed.
+  /// Updates the confirmation. Must be called whenever the view's index or membership changed.
   void viewChanged(const ClusterView& view);
 
-  /// @return whether a confirmation not older than the limit exists. Depends on `now` alone, so
-  /// that after a frozen process resumes an old confirmation does not count.
+  /// @return whether there is a confirmation that is not older than the limit. Depends on `now`
+  /// alone, so that an old confirmation does not count after a frozen process resumes.
   bool confirmed(base::TimePoint now) const;
   /// @return the send time of the newest round whose bound the view has reached.
   std::optional<base::TimePoint> confirmedAt() const { return confirmedAt_; }
-  /// @return when the confirmation lapses; kNever without one.
+  /// @return when the confirmation expires; kNever without one.
   base::TimePoint lapsesAt() const;
   /// @return the send time of the oldest round whose bound the view has not reached.
   std::optional<base::TimePoint> behindSince() const;
--- a/src/routing/load_times.h
+++ b/src/routing/load_times.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Observed times from the first waiting request to a ready replica, and what to expect of the next
-/// one.
+/// Observed load durations, from the first waiting request to a ready replica, and the estimate for
+/// the next load.
 
 #include <cstddef>
 #include <vector>
@@ -11,25 +11,28 @@
 
 namespace walnut::routing {
 
-/// While the last load is recent its circumstances are taken to last: the moving average counts.
-/// Later the least of the last few counts: a request is not refused for a slowness that may be
-/// over, e.g. that of the store or of a cell without a leader.
+/// Estimates the duration of the next load. While the last load is recent, its conditions are
+/// assumed to persist, so the moving average counts. Later the shortest of the last few counts, so
+/// that no request is refused for a slowness that may be over, e.g. that of the store or of a cell
+/// without a leader.
 class LoadTimes {
  public:
   void observe(base::TimePoint now, base::Duration sample);
-  /// @param fallback if nothing was observed.
+  /// @param fallback estimate if nothing was observed.
   base::Duration estimate(base::TimePoint now, base::Duration fallback) const;
 
  private:
-  /// As long as the slow loads of one cause follow each other.
+  /// Period for which a load counts as recent: that in which slow loads of one cause follow each
+  /// other.
   static constexpr base::Duration kRecent = std::chrono::seconds(60);
   static constexpr std::size_t kKeptSamples = 8;
-  /// Fewer old loads than this may all have had one cause: no more is expected than the fallback.
+  /// Fewer old loads than this may all have had one cause; the estimate is then at most the
+  /// fallback.
   static constexpr std::size_t kEvidence = 3;
 
   MovingAverage average_;
-  /// The oldest first. Not a deque: an empty one takes half a kilobyte, and there are thousands of
-  /// targets, most of which were never loaded for this router.
+  /// Latest samples, the oldest first. Not a deque, since an empty one takes half a kilobyte and
+  /// there are thousands of targets, most of which were never loaded for this router.
   std::vector<base::Duration> latest_;
   base::TimePoint observedAt_;
 };
--- a/src/routing/moving_average.h
+++ b/src/routing/moving_average.h
@@ -8,6 +8,7 @@
 
 namespace walnut::routing {
 
+/// Exponentially weighted moving average of durations.
 class MovingAverage {
  public:
   void observe(base::Duration sample) {
@@ -17,12 +18,12 @@
     }
     value_ = *value_ + (sample - *value_) / kWeightDivisor;
   }
-  /// @return nothing until there was a sample.
+  /// @return the average; nothing until there was a sample.
   std::optional<base::Duration> value() const { return value_; }
   base::Duration valueOr(base::Duration fallback) const { return value_.value_or(fallback); }
 
  private:
-  /// A new sample has the weight 1/8, as in TCP's smoothed round-trip time (RFC 6298).
+  /// A new sample has a weight of 1/8, as in TCP's smoothed round-trip time (RFC 6298).
   static constexpr int kWeightDivisor = 8;
   std::optional<base::Duration> value_;
 };
--- a/src/routing/prefix_index.cpp
+++ b/src/routing/prefix_index.cpp
@@ -63,8 +63,8 @@
 
 void PrefixIndex::sent(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes) {
   Known& known = engines_[engine];
-  // The last block first: a prefix is of use only with all blocks before it, so those are kept
-  // longer.
+  // Inserts the last block first: a prefix is useful only with all preceding blocks, so those are
+  // evicted later.
   for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash) {
     insert(known, *hash);
   }
--- a/src/routing/prefix_index.h
+++ b/src/routing/prefix_index.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What is known of the prompt prefixes that engines hold in their caches.
+/// Index of the prompt prefixes that engines are thought to hold in their caches.
 
 #include <cstdint>
 #include <list>
@@ -13,42 +13,45 @@
 
 namespace walnut::routing {
 
-/// Bytes of a prompt that are hashed as one block.
+/// Number of bytes of a prompt that are hashed as one block.
 inline constexpr std::size_t kPrefixBlockBytes = 256;
-/// Blocks of a prompt that are looked at; a longer common prefix makes no difference.
+/// Maximum number of blocks of a prompt that are compared; a longer common prefix makes no
+/// difference.
 inline constexpr std::size_t kMaxPrefixBlocks = 64;
 
-/// Hashes kept for all engines together, at some 94 bytes each: 2.3 MB of a router's memory:
-/// the whole state leaves no more (docs/CAPACITY.md). That is what 50 requests a second with
-/// prompts of 2 KB send in 60 s.
+/// Maximum number of hashes over all engines. At about 94 bytes each they take 2.3 MB of a router's
+/// memory; the rest of the state leaves no more (docs/CAPACITY.md). This covers the prompts that 50
+/// requests per second of 2 KB each send in 60 s.
 inline constexpr std::size_t kMaxPrefixHashes = 24'576;
 
 /// @return for each whole block the hash of the prompt up to its end: XXH3 of the block, seeded
-/// with the hash of what is before it; the first one is seeded with the hash of the servable's
+/// with the hash of the preceding text. The first one is seeded with the hash of the servable's
 /// model, version and adapter, each followed by a zero byte.
 std::vector<std::uint64_t> prefixHashes(const resource::Servable& servable,
                                         const std::string& prompt);
 
-/// Guesses only: being wrong costs time, never correctness. Bounded over all engines; forgets the
-/// least recently used prefix first.
+/// Estimates which prefixes engines hold. A wrong estimate costs time, never correctness. The size
+/// is bounded over all engines; the least recently used prefix is evicted first.
 class PrefixIndex {
  public:
-  /// This router sent a prompt there, so the engine will hold its prefixes.
+  /// Records that this router sent a prompt to the engine, which will therefore hold its prefixes.
   void sent(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes);
-  /// Events that are not newer than the last are ignored. After a gap in the sequence, anything
-  /// known before may have been evicted: it is dropped.
+  /// Applies cache events of an engine. Events that are not newer than the last one are ignored.
+  /// After a gap in the sequence the engine's entries are dropped, because any of them may have
+  /// been evicted.
   void apply(const base::EngineId& engine, const std::vector<engine::CacheEvent>& events);
-  /// The engine is gone or another incarnation runs.
+  /// Drops the entries of an engine that is gone or has a new incarnation.
   void forget(const base::EngineId& engine);
-  /// @return how many leading blocks the engine is thought to hold.
+  /// @return the number of leading blocks that the engine is thought to hold.
   std::size_t matchingBlocks(const base::EngineId& engine,
                              const std::vector<std::uint64_t>& hashes) const;
-  /// @return how many hashes are kept.
+  /// @return the number of stored hashes.
   std::size_t size() const { return byUse_.size(); }
 
  private:
   struct Known;
-  /// A hash that an engine is thought to hold. `holder` stays valid: maps don't move their values.
+  /// Hash that an engine is thought to hold. `holder` stays valid, since maps don't move their
+  /// values.
   struct Block {
     Known* holder = nullptr;
     std::uint64_t hash = 0;
@@ -61,7 +64,7 @@
   void erase(Known& known, std::uint64_t hash);
   void clear(Known& known);
 
-  std::list<Block> byUse_;  ///< Of all engines; most recently used first.
+  std::list<Block> byUse_;  ///< Blocks of all engines, most recently used first.
   std::map<base::EngineId, Known> engines_;
 };
 
--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Records of a request and of its present attempt.
+/// Records of a request and of its current attempt.
 
 #include <memory>
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace walnut::routing {
 
-/// A run, or possible run, of a request on an engine.
+/// Execution, or possible execution, of a request on an engine.
 struct Attempt {
   base::AttemptId id;
   base::EngineId engine;
@@ -21,75 +21,76 @@
   base::ReplicaId replica;
   resource::Servable servable;
   base::TimePoint handedOverAt;
-  base::TimePoint lastTokenAt;  ///< handedOverAt until there was one.
-  MovingAverage tokenInterval;  ///< Of this attempt: accelerators differ in speed.
+  base::TimePoint lastTokenAt;  ///< Equals handedOverAt until a token arrived.
+  MovingAverage tokenInterval;  ///< Per attempt, since accelerators differ in speed.
 };
 
-/// An engine that has the exported state of an attempt, or was asked to hold it.
+/// Engine that has the exported state of an attempt, or was asked to hold it.
 struct StateHolder {
   base::EngineId engine;
   base::Endpoint endpoint;
-  base::Incarnation incarnation;  ///< The state is gone with it.
+  base::Incarnation incarnation;  ///< The state is lost when it changes.
 };
 
-/// Whether this process has the exported state of a request.
+/// Whether this process stores the exported state of a request.
 enum class Keeping : std::uint8_t {
   no,
-  fetching,  ///< Asked for; counts as kept.
+  fetching,  ///< The fetch is in progress; counts as stored.
   kept,
 };
 
-/// What a request needs only while it moves from one engine to another.
+/// Data that a request needs only while it moves from one engine to another.
 struct Move {
   Attempt source;                       ///< The attempt that is exported.
-  std::optional<std::uint32_t> offset;  ///< Tokens below it come on the source's stream. Absent
-                                        ///< until the engine has answered.
+  std::optional<std::uint32_t> offset;  ///< Tokens below it arrive on the source's stream. Absent
+                                        ///< until the engine has answered the export.
   engine::KvSource kvSource;
-  StateHolder holder;                  ///< Where the state lies: the source, or who holds a copy.
-  std::optional<StateHolder> asked;    ///< Asked to hold a copy, without a clear answer so far.
-  std::set<base::EngineId> refusedBy;  ///< Would not hold a copy.
+  StateHolder holder;                  ///< Where the state is: the source or an engine with a copy.
+  std::optional<StateHolder> asked;    ///< Asked to hold a copy; no definite answer yet.
+  std::set<base::EngineId> refusedBy;  ///< Engines that refused to hold a copy.
   Keeping keeping = Keeping::no;
   bool sourceFailed = false;  ///< The source's stream broke before the engine answered.
-  bool detached = false;      ///< All its tokens are here: it may go on elsewhere.
+  bool detached = false;      ///< All tokens of the source arrived: it may continue elsewhere.
 };
 
-/// A retry that the budget does not allow yet.
+/// Retry that the retry budget does not allow yet.
 struct PendingRetry {
   base::Error failure;
   base::TimePoint giveUpAt;
 };
 
+/// Record of one request from admission to its terminal output.
 struct Request {
   CallerRequest caller;
   RequestMachine machine;
-  std::uint64_t sequence = 0;  ///< In order of arrival; breaks ties.
+  std::uint64_t sequence = 0;  ///< Arrival order; breaks ties.
   base::TimePoint arrivedAt;
   base::TimePoint deadline;
   bool cold = false;          ///< No replica was ready when it arrived.
   bool claimed = false;       ///< The cell granted its idempotency key.
   bool extended = false;      ///< Its time-out was extended after this process had been frozen.
-  bool immovable = false;     ///< An export was refused: it stays where it is.
-  bool wantsReplica = false;  ///< Its engine leaves and no other replica is ready.
+  bool immovable = false;     ///< An export was refused: it stays at its engine.
+  bool wantsReplica = false;  ///< Its engine is leaving and no other replica is ready.
 
-  base::TimePoint phaseDeadline = base::kNever;  ///< Time-out or end of the present state.
-  base::TimePoint moveAt = base::kNever;         ///< Its engine leaves: when to look again.
-  base::TimePoint timer = base::kNever;          ///< As registered with the timer set.
+  base::TimePoint phaseDeadline = base::kNever;  ///< Time-out or end of the current state.
+  base::TimePoint moveAt = base::kNever;  ///< Next check of a request whose engine is leaving.
+  base::TimePoint timer = base::kNever;   ///< Time registered in the timer set.
 
   base::TimePoint claimGiveUpAt = base::kNever;
-  std::vector<std::uint64_t> claimSequences;  ///< Of its unanswered ClaimRequests.
+  std::vector<std::uint64_t> claimSequences;  ///< Sequences of its unanswered ClaimRequests.
 
-  std::uint32_t attempts = 0;                  ///< Handed over.
-  std::uint32_t failedAttempts = 0;            ///< Those that count against maxAttempts.
-  std::optional<base::EngineId> failedEngine;  ///< Of the last failed attempt.
-  /// Present in backingOff while the retry budget is used up: the last failure, and until when the
-  /// budget is asked again.
+  std::uint32_t attempts = 0;                  ///< Number of attempts that were started.
+  std::uint32_t failedAttempts = 0;            ///< Attempts that count against maxAttempts.
+  std::optional<base::EngineId> failedEngine;  ///< Engine of the last failed attempt.
+  /// Present in state backingOff while the retry budget is exhausted: the last failure, and the
+  /// time until which the budget is checked again.
   std::optional<PendingRetry> pendingRetry;
-  /// Present in claiming (not handed over, id zero), starting, streaming, exporting.
+  /// Present in states claiming (not started, id zero), starting, streaming and exporting.
   std::optional<Attempt> attempt;
   std::unique_ptr<Move> move;
-  /// Set once tokens were delivered: the rest has to come from the same weights.
+  /// Set once tokens were delivered: the remaining ones have to come from the same weights.
   std::optional<resource::Servable> pinned;
-  std::vector<std::uint64_t> prefixHashes;  ///< Of the prompt; computed for the first attempt.
+  std::vector<std::uint64_t> prefixHashes;  ///< Of the prompt; computed at the first attempt.
 };
 
 }  // namespace walnut::routing
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -4,7 +4,7 @@
 
 void RequestLifecycle::enqueue(Request& request) {
   request.phaseDeadline = base::kNever;
-  // The engine that has its state may leave: see StateParker.
+  // The engine that has its exported state may leave: see StateParker.
   request.moveAt = waitsWithState(request) ? core_.now : base::kNever;
   core_.requests.arm(request);
   core_.queue.push(request);
@@ -38,7 +38,7 @@
         CancelAttempt{attempt.engine, attempt.endpoint, {request.caller.request, attempt.id}});
   }
   if (handedOver) {
-    // A trial of the breaker that ended without a verdict, by its deadline or its caller, is over.
+    // A circuit breaker trial that ended by its deadline or its caller has no outcome; it is over.
     core_.selector.undecided(core_.now, attempt.engine);
   }
   core_.selector.placeFreed(attempt.engine, attempt.replica);
--- a/src/routing/request_lifecycle.h
+++ b/src/routing/request_lifecycle.h
@@ -1,40 +1,41 @@
 #pragma once
 /// @file
-/// The steps that all parts of the router use to move a request along, and to end it.
+/// State changes of a request that are shared by all components of the router.
 
 #include "routing/router_core.h"
 
 namespace walnut::routing {
 
-/// Why and how a request is given up.
+/// Reason for refusing a request, and whether the caller may retry.
 struct Refusal {
   base::Error error;
   bool retryable = false;
   base::Duration retryAfter{0};
 };
 
-/// Whether the engine has to be told that an attempt is over.
+/// Whether an attempt was ended by the engine, or has to be cancelled there.
 enum class AttemptEnd : std::uint8_t { byEngine, cancelled };
 
-/// Keeps the tables consistent: a request in state `queued` is in the queue; one with an attempt
-/// holds a place at its replica and is listed at its engine.
+/// Performs the state changes of requests and keeps the tables consistent: a request in state
+/// `queued` is in the queue; a request with an attempt holds a slot at its replica and is listed at
+/// its engine.
 class RequestLifecycle {
  public:
   explicit RequestLifecycle(RouterCore& core) : core_(core) {}
 
-  /// For a request that is in state `queued` but not yet in the queue.
+  /// Adds a request that is in state `queued` but not yet in the queue.
   void enqueue(Request& request);
   void dequeue(Request& request);
-  /// Holds a place for the next attempt.
+  /// Reserves a slot at the replica for the next attempt.
   void hold(Request& request, const ReadyReplica& replica, const resource::Servable& servable);
-  /// Frees the place of the present attempt, if there is one. An attempt that was never handed
-  /// over needs no cancelling.
+  /// Frees the slot of the current attempt, if there is one. An attempt that was never dispatched
+  /// needs no cancellation.
   void release(Request& request, AttemptEnd end);
-  /// Gives up what is left of a move; whoever has the exported state may free it.
+  /// Drops the remaining data of a move; the engines that have the exported state may free it.
   void dropMove(Request& request);
-  /// Ends the keeping of the request's exported state in this process.
+  /// Discards the request's exported state that this process stores.
   void dropKeptState(Request& request);
-  /// Sets the time-out of the state that the request is in.
+  /// Sets the time-out of the request's current state.
   void setPhaseDeadline(Request& request, base::TimePoint at);
   void setMoveAt(Request& request, base::TimePoint at);
   void setWantsReplica(Request& request, bool wants);
@@ -43,13 +44,13 @@
   /// @{
   void end(Request& request, engine::FinishReason reason);
   void refuse(Request& request, const Refusal& refusal);
-  /// The caller is gone: no output.
+  /// Removes the request without any output, because its caller disconnected.
   void abandon(Request& request);
   /// @}
 
-  /// @return whether a caller may send the request again: it can be run again, or was not run.
+  /// @return whether a caller may send the request again: it is repeatable or was not executed.
   static bool mayBeSentAgain(const Request& request);
-  /// @return whether it waits for a replica and can only go on from its exported state.
+  /// @return whether the request waits for a replica and can continue only from its exported state.
   static bool waitsWithState(const Request& request);
 
  private:
--- a/src/routing/request_machine.cpp
+++ b/src/routing/request_machine.cpp
@@ -32,7 +32,7 @@
   return false;
 }
 
-/// `yes` outweighs `unknown`, which outweighs `no`.
+/// Combines two outcomes: `yes` takes precedence over `unknown`, which takes precedence over `no`.
 Executed combine(Executed one, Executed other) {
   if (one == Executed::yes || other == Executed::yes) {
     return Executed::yes;
--- a/src/routing/request_queue.h
+++ b/src/routing/request_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The waiting requests, by target, in the order in which they are served.
+/// Queues of waiting requests, by target, in the order of service.
 
 #include <cstdint>
 #include <map>
@@ -12,11 +12,11 @@
 
 namespace walnut::routing {
 
-/// Order of service: requests that were running already, then interactive, then batch; within
-/// each the earliest deadline first.
+/// Order of service: requests that were already running, then interactive ones, then batch; within
+/// each rank the earliest deadline first.
 enum class QueueRank : std::uint8_t { resumed = 0, interactive = 1, batch = 2 };
 
-/// Place of a request in a queue.
+/// Position of a request in a queue.
 struct QueueEntry {
   QueueRank rank = QueueRank::interactive;
   base::TimePoint deadline;
@@ -25,15 +25,15 @@
   bool operator<(const QueueEntry& other) const;
 };
 
-/// @return the place of the request. Depends on fields that do not change while it waits.
+/// @return the position of the request. Depends only on fields that do not change while it waits.
 QueueEntry queueEntry(Request& request);
 
-/// The waiting requests of one target.
+/// Queue of the waiting requests of one target.
 class TargetQueue {
  public:
   std::size_t size() const { return entries_.size(); }
   std::size_t count(QueueRank rank) const { return counts_[static_cast<std::size_t>(rank)]; }
-  /// In order of service.
+  /// @return the entries in order of service.
   const std::set<QueueEntry>& entries() const { return entries_; }
   std::optional<base::TimePoint> earliestDeadline() const;
 
@@ -43,19 +43,20 @@
   std::size_t counts_[3] = {0, 0, 0};
 };
 
-/// Invariant: contains exactly the requests that wait for a place at a replica. The bounds of
-/// admission count only those that were never handed to an engine.
+/// Queues of all targets. Invariant: contains exactly the requests that wait for a slot at a
+/// replica. The admission limits count only those that were never dispatched to an engine.
 class RequestQueue {
  public:
   void push(Request& request);
   void remove(Request& request);
   std::size_t size() const { return size_; }
-  /// @return requests that count against the total bound.
+  /// @return the number of requests that count against the total limit.
   std::size_t fresh() const { return size_ - resumed_; }
-  /// @return an empty queue for a target without waiting requests.
+  /// @return the queue of the target; an empty one if it has no waiting requests.
   const TargetQueue& target(const std::string& name) const;
   const std::map<std::string, TargetQueue>& targets() const { return targets_; }
-  /// @return the batch request with the latest deadline, of the target or of all; or nullptr.
+  /// @return the batch request with the latest deadline, of the target or of all targets, or
+  /// nullptr.
   Request* latestBatch(const std::string& target) const;
   Request* latestBatch() const;
 
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// All live requests of a router, with an ordered set of their timers.
+/// Table of all open requests of a router, with an ordered set of their timers.
 
 #include <functional>
 #include <map>
@@ -12,7 +12,7 @@
 
 namespace walnut::routing {
 
-/// Orders requests by arrival, so that iteration does not depend on addresses.
+/// Orders requests by arrival, so that the iteration order does not depend on addresses.
 struct ByArrival {
   bool operator()(const Request* one, const Request* other) const {
     return one->sequence < other->sequence;
@@ -20,7 +20,7 @@
 };
 using RequestSet = std::set<Request*, ByArrival>;
 
-/// Owns the requests. All operations are at most logarithmic in their number.
+/// Owns the requests. All operations are at most logarithmic in the number of requests.
 class RequestTable {
  public:
   /// @return the new record, or nullptr if the id is in use.
@@ -28,17 +28,17 @@
   Request* find(const base::RequestId& id);
   void erase(Request& request);
   std::size_t size() const { return requests_.size(); }
-  /// @return how many requests wait for each servable that they have to go on with.
+  /// @return the number of waiting requests by the servable that they are pinned to.
   std::map<resource::Servable, std::uint32_t> waitingToGoOn() const;
 
-  /// Registers the least of the request's deadline, phaseDeadline and moveAt. To be called after
-  /// any of them changed.
+  /// Registers the earliest of the request's deadline, phaseDeadline and moveAt. Must be called
+  /// after any of them changed.
   void arm(Request& request);
   /// @return the request whose timer is due first, or nullptr if none is due at `now`.
   Request* due(base::TimePoint now);
   base::TimePoint nextWakeup() const;
 
-  /// Requests with an attempt on the engine, in order of arrival.
+  /// Adds the request to those with an attempt on the engine, which are kept in order of arrival.
   void attach(Request& request, const base::EngineId& engine);
   void detach(Request& request, const base::EngineId& engine);
   std::set<base::EngineId> engines() const;
@@ -53,7 +53,7 @@
     }
   };
 
-  /// Never iterated: its order is not deterministic.
+  /// Iterated only where the order does not matter, since it is not deterministic.
   std::unordered_map<base::RequestId, std::unique_ptr<Request>> requests_;
   std::set<Timer> timers_;
   std::map<base::EngineId, RequestSet> byEngine_;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Bounds retries to a share of the first attempts, so that retries can't multiply an overload.
+/// Retry budget: limits retries to a fraction of the first attempts, so that retries can't multiply
+/// an overload.
 
 #include <cstdint>
 #include <deque>
@@ -9,22 +10,24 @@
 
 namespace walnut::routing {
 
-/// Counts over a sliding window, in buckets of one second.
+/// Counts first attempts and retries over a sliding window, in buckets of one second.
 class RetryBudget {
  public:
   static constexpr base::Duration kWindow = std::chrono::seconds(10);
 
-  /// Retries that are allowed in a window whatever the traffic, so that a router with few requests
-  /// can retry at all. Envoy's retry budget has such a floor as well.
+  /// Number of retries that are allowed in a window whatever the traffic, so that a router with few
+  /// requests can retry at all. Envoy's retry budget has such a minimum as well.
   static constexpr double kDefaultFloor = 10.0;
 
-  /// @param ratio retries allowed per first attempt.
+  /// @param ratio number of retries allowed per first attempt.
+  /// @param floor number of retries allowed in a window whatever the traffic.
   explicit RetryBudget(double ratio, double floor = kDefaultFloor) : ratio_(ratio), floor_(floor) {}
 
   void setFloor(double floor) { floor_ = floor; }
 
   void firstAttempt(base::TimePoint now);
-  /// Takes one retry. @return false if the budget is used up.
+  /// Takes one retry from the budget.
+  /// @return false if the budget is exhausted.
   bool takeRetry(base::TimePoint now);
 
  private:
--- a/src/routing/router_core.h
+++ b/src/routing/router_core.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the parts of a router's logic share.
+/// State shared by the components of a router's logic.
 
 #include <map>
 #include <set>
@@ -20,7 +20,8 @@
 
 namespace walnut::routing {
 
-/// State of a router. Its parts hold references to each other: neither copied nor moved.
+/// State of a router. Its components hold references to each other, so it is neither copied nor
+/// moved.
 struct RouterCore {
   RouterCore(const RouterOptions& routerOptions, base::RouterId routerId, std::uint64_t seed)
       : options(routerOptions),
@@ -34,8 +35,8 @@
   RouterCore(const RouterCore&) = delete;
   RouterCore& operator=(const RouterCore&) = delete;
 
-  /// @return whether the configuration may be acted upon now. Before the first confirmation nothing
-  /// is known that could be served, whatever the policy.
+  /// @return whether the configuration may be used now. Before the first confirmation no
+  /// configuration is known, so nothing is served whatever the policy.
   bool mayServe() const {
     const bool everConfirmed = freshness.confirmedAt().has_value();
     const bool serveStale = options.whenUnconfirmed == UnconfirmedPolicy::serve && everConfirmed;
@@ -45,7 +46,7 @@
   const RouterOptions options;
   const base::RouterId id;
   base::Random random;
-  base::TimePoint now;  ///< Of the present step.
+  base::TimePoint now;  ///< Time of the current step.
   bool stopping = false;
   std::vector<RouterAction> actions;
 
@@ -59,12 +60,12 @@
   EngineSelector selector;
   RetryBudget retryBudget;
   std::uint64_t nextAttempt = 1;
-  std::uint32_t keptStates = 0;  ///< Requests whose state this process keeps, or fetches.
-  /// Targets whose waiting requests are to be looked at before the step ends.
+  std::uint32_t keptStates = 0;  ///< Requests whose state this process stores or fetches.
+  /// Targets whose queues are to be dispatched before the step ends.
   std::set<std::string> dispatchDue;
-  /// Targets to be looked at later without any event, by time; see Target::dispatchAt.
+  /// Targets to be dispatched at a given time without any event; see Target::dispatchAt.
   std::set<std::pair<base::TimePoint, std::string>> dispatchLater;
-  /// Targets to be looked at when the configuration is confirmed again.
+  /// Targets to be dispatched once the configuration is confirmed again.
   std::set<std::string> dispatchWhenConfirmed;
 };
 
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -8,10 +8,11 @@
 namespace walnut::routing {
 
 namespace {
+/// Retry delay for callers whose request ran into its deadline.
 constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
-/// How many probe intervals a watched controller may be behind a confirmed bound.
+/// Number of probe intervals that a watched controller may lag behind a confirmed bound.
 constexpr int kWatchLagProbes = 2;
-/// How many probe intervals the first state of a cell may take to begin to arrive.
+/// Number of probe intervals within which the first snapshot page of the cell must arrive.
 constexpr int kFirstStateProbes = 4;
 }  // namespace
 
@@ -171,7 +172,7 @@
     mover_.engineChanged(engine);
   }
   for (const std::string& name : targets) {
-    // Others have neither waiting requests nor a load that is being observed.
+    // Other targets have neither waiting requests nor a load whose duration is being observed.
     if (core_.targets.contains(name)) {
       core_.dispatchDue.insert(name);
     }
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The router's decision logic, composed of its parts.
+/// The router's decision logic, composed of its components.
 
 #include "routing/admission.h"
 #include "routing/attempt_handler.h"
@@ -11,9 +11,9 @@
 
 namespace walnut::routing {
 
-/// Distributes inputs and timers over the parts. In each step: the input first, so that what an
-/// engine has sent counts before a time-out; then all timers that are due; then the queues that
-/// were touched.
+/// Distributes inputs and timers to the components. Each step handles the input first, so that an
+/// event which an engine has sent takes precedence over a time-out; then it runs all timers that
+/// are due, and then it dispatches the affected queues.
 class RouterImpl : public Router {
  public:
   RouterImpl(const RouterOptions& options, base::RouterId id, std::uint64_t seed,
@@ -43,7 +43,7 @@
   void receive(protocol::ConnectionId connection, const protocol::WatchSnapshotPage& page);
   void receive(protocol::ConnectionId connection, const protocol::ProbeReply& reply);
   void receive(protocol::ConnectionId connection, const protocol::ClaimReply& reply);
-  /// Messages that no controller sends to a router.
+  /// Ignores messages that no controller sends to a router.
   template <class Other>
   void receive(protocol::ConnectionId, const Other&) {}
 
--- a/src/routing/state_parker.cpp
+++ b/src/routing/state_parker.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Longer than the driver's own time-out of the call.
+/// Time-out of a hold; longer than the driver's own time-out of the call.
 constexpr base::Duration kHoldTimeout = std::chrono::seconds(3);
-/// A machine is taken to be there for so long after its time of reclaim, unless the cell says that
+/// Time after its reclaim for which a machine is still assumed to run, unless the cell reports that
 /// it is gone: clocks differ, and a fetch that fails does no harm.
 constexpr base::Duration kReclaimSlack = std::chrono::seconds(2);
 
-/// @return whether the engine said, or it is plain, that it holds nothing.
+/// @return whether it is certain that the engine holds nothing.
 bool isClearRefusal(ErrorCode code) {
   switch (code) {
     case ErrorCode::engineOverloaded:
@@ -64,7 +64,7 @@
     giveUp(request, "the engine that had the exported state of the stream is gone");
     return;
   }
-  // A request that finds a replica is taken out of the queue before this step ends.
+  // A request that finds a replica leaves the queue before this step ends.
   const bool resumesNow = core_.mayServe() && replicaReady(request);
   if (core_.now < mustLeaveAt(holder) || resumesNow) {
     lifecycle_.setMoveAt(request, core_.now + kLookAgainAfter);
@@ -83,7 +83,7 @@
     beginParking(request);
     keepHere(request);
   } else {
-    move.refusedBy.clear();  // Those may have room by then.
+    move.refusedBy.clear();  // They may have free capacity by then.
     lifecycle_.setMoveAt(request, core_.now + kLookAgainAfter);
   }
 }
@@ -245,8 +245,9 @@
   return core_.mayServe() && anyHolder;
 }
 
-/// One of the source's class if there is any: pools are made of classes, and the copy stays where
-/// the model may run. Drawn, so that the streams of one machine spread.
+/// Chooses an engine of the source's machine class if there is one: pools consist of classes, so
+/// the copy stays where the model may run. The choice is random, so that the streams of one machine
+/// spread over the engines.
 std::optional<StateHolder> StateParker::chooseHolder(const Move& move) {
   if (!core_.mayServe()) {
     return std::nullopt;
--- a/src/routing/state_parker.h
+++ b/src/routing/state_parker.h
@@ -1,66 +1,75 @@
 #pragma once
 /// @file
-/// Keeps the exported state of a stream alive while no replica is there to go on with it.
+/// Parking of exported stream state: preserves the state of a stream while no replica is ready to
+/// continue it.
 
 #include "routing/request_lifecycle.h"
 
 namespace walnut::routing {
 
-/// Before its machine goes, a stream is exported, another engine fetches the state, and one that
-/// does not answer is asked again; then the idle replica has to be unloaded, and the cell to learn
-/// of it, so that its place in the model's limit is free. Each takes some 100 ms.
+/// Time before the reclaim of a machine at which its streams are exported. Within it, a stream is
+/// exported, another engine fetches the state, and an engine that does not answer is asked again;
+/// then the idle replica has to be unloaded, and the cell has to detect this, so that the replica
+/// no longer counts against the model's limit. Each step takes about 100 ms.
 inline constexpr base::Duration kReclaimMargin = std::chrono::seconds(2);
-/// How often a stream without another replica looks for one, or for an engine that holds its
-/// state, beside changes of the view.
+/// Interval at which a stream without another replica looks for one, or for an engine that can hold
+/// its state, in addition to changes of the view.
 inline constexpr base::Duration kLookAgainAfter = std::chrono::milliseconds(200);
 
-/// A request that may not be repeated and whose attempt was exported can only go on from that
-/// state. While it waits for a replica, the engine that has the state may be about to go: shortly
-/// before, another one that stays is asked to hold a copy, whatever it has loaded. The request
-/// reports demand all the while and goes on from the holder once a replica is ready. If no engine
-/// can hold the state, e.g. because all machines of the cell go at once, this process keeps it,
-/// within `maxKeptStates`, until it can give it to an engine: the request does not outlive this
-/// process anyway. When the state is gone the request ends at once with a typed error. Nothing is
-/// handed to an engine that leaves, nor while the configuration is not confirmed.
+/// Preserves the exported state of requests that must not be repeated: after the export, such a
+/// request can only continue from that state. While it waits for a replica, the engine that has the
+/// state may be about to leave: shortly before, another engine that stays is asked to hold a copy,
+/// whatever models it has loaded. The request reports demand all the while and continues from the
+/// holder once a replica is ready. If no engine can hold the state, e.g. because all machines of
+/// the cell are reclaimed at once, this process stores it, within `maxKeptStates`, until it can
+/// upload it to an engine: the request ends with this process anyway. When the state is lost the
+/// request ends at once with a typed error. No state is sent to an engine that is leaving, or while
+/// the configuration is not confirmed.
 class StateParker {
  public:
   StateParker(RouterCore& core, RequestLifecycle& lifecycle) : core_(core), lifecycle_(lifecycle) {}
 
   /// @return whether an engine other than `source` may be asked to hold a state now, or this
-  /// process may keep it.
+  /// process may store it.
   bool mayPark(const base::EngineId& source) const;
-  /// @return whether a replica of the servable may still become ready: one is, or it is what the
-  /// target stands for now. The cell places no version that was replaced and no deleted target.
+  /// @return whether a replica of the servable may still become ready: one is ready, or the target
+  /// is served and refers to the servable or the servable's version is still declared. The cell
+  /// places no undeclared version and no deleted target.
   bool mayBecomeReady(const std::string& target, const resource::Servable& servable) const;
-  /// The moveAt of a request that waits with its state is due.
+  /// Handles the due moveAt of a request that waits with its state.
   void consider(Request& request);
-  /// An engine's answer to HoldState or PutState.
+  /// Handles an engine's answer to HoldState or PutState.
   void held(const EngineHeld& event);
-  /// The driver's answer to KeepState.
+  /// Handles the driver's answer to KeepState.
   void kept(const StateKept& event);
-  /// State `parking`: there was no clear answer, or the state is kept and waits for an engine.
+  /// Handles the time-out of state `parking`: no definite answer arrived, or the stored state waits
+  /// for an engine.
   void parkingDue(Request& request);
 
  private:
   bool isGone(const StateHolder& holder) const;
-  /// @return when the state is to be taken from its holder; kNever if that stays.
+  /// @return when the state has to be moved away from its holder; kNever if the holder stays.
   base::TimePoint mustLeaveAt(const StateHolder& holder) const;
   bool replicaReady(const Request& request) const;
   void park(Request& request);
-  /// Asking an engine again is safe: one that holds the copy answers so.
+  /// Asks the engine to hold the state. Asking again is safe, because an engine that already holds
+  /// the copy confirms it.
   void ask(Request& request, const StateHolder& holder);
   bool mayKeep() const { return core_.keptStates < core_.options.maxKeptStates; }
   void keepHere(Request& request);
-  /// The state is kept: gives it to an engine if one can hold it.
+  /// Uploads the stored state to an engine if one can hold it.
   void putAway(Request& request);
   void beginParking(Request& request);
   void refused(Request& request, const base::Error& error);
   void returnToQueue(Request& request);
-  /// @param detail why the stream can't go on.
+  /// Ends the request with a broken stream.
+  /// @param detail why the stream can't continue.
   void giveUp(Request& request, const char* detail);
-  /// Ends a request that waits in vain. @return whether it did.
+  /// Ends the request if no replica can become ready for it.
+  /// @return whether it ended the request.
   bool endIfInVain(Request& request);
-  /// @param engine one that takes work.
+  /// @return whether the engine may hold a state.
+  /// @param engine an engine that takes work.
   bool mayHold(const resource::Engine& engine) const;
   std::optional<StateHolder> chooseHolder(const Move& move);
 
--- a/src/routing/stream_mover.cpp
+++ b/src/routing/stream_mover.cpp
@@ -7,10 +7,10 @@
 using base::ErrorCode;
 
 namespace {
-/// Before its machine goes, a repeatable stream is cancelled there and run elsewhere: nothing has
-/// to be fetched from the machine.
+/// Time before the reclaim of a machine at which a repeatable stream is cancelled and run
+/// elsewhere. It may be short, since nothing has to be fetched from the machine.
 constexpr base::Duration kRecomputeMargin = std::chrono::seconds(1);
-/// Until an interval between tokens was observed: a slow engine's.
+/// Token interval assumed until one was observed; that of a slow engine.
 constexpr base::Duration kInitialTokenInterval = std::chrono::milliseconds(50);
 }  // namespace
 
@@ -64,7 +64,7 @@
   const base::TimePoint mustLeaveAt = *engine->reclaimAt - margin;
   const base::TimePoint soon = core_.now + kLookAgainAfter;
   if (core_.now + remainingTime(request) <= mustLeaveAt) {
-    // The estimate may be wrong: look again in half of the time.
+    // The estimate may be wrong: check again after half of the time.
     lifecycle_.setWantsReplica(request, false);
     lifecycle_.setMoveAt(request, std::max(soon, core_.now + (mustLeaveAt - core_.now) / 2));
     return;
--- a/src/routing/target_table.h
+++ b/src/routing/target_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a router has observed of each target, and the estimate of waits that follows from it.
+/// Observations of a router for each target, and the wait estimate that is derived from them.
 
 #include <map>
 #include <optional>
@@ -14,33 +14,33 @@
 
 /// Observations of one model or adapter at this router.
 struct Target {
-  std::uint32_t running = 0;  ///< Requests with an attempt, or with a place held for one.
-  std::uint32_t moving = 0;   ///< Streams that want another replica, because theirs leaves.
+  std::uint32_t running = 0;  ///< Requests with an attempt or a reserved slot.
+  std::uint32_t moving = 0;   ///< Streams that need another replica because their engine leaves.
   base::TimePoint lastArrival;
-  /// Since when requests have waited without a ready replica.
+  /// Time since which requests have waited without a ready replica.
   std::optional<base::TimePoint> coldSince;
-  /// A request was refused because no replica was ready: demand is reported until then, so that
-  /// the caller finds one when it comes back.
+  /// End of the time for which demand is reported after a request was refused because no replica
+  /// was ready, so that its caller finds one on a retry.
   base::TimePoint refusedDemandUntil;
   engine::Priority refusedPriority = engine::Priority::interactive;
-  MovingAverage serviceTime;   ///< From handing over to the end.
-  MovingAverage startLatency;  ///< From handing over to the first token.
+  MovingAverage serviceTime;   ///< From dispatch to the end.
+  MovingAverage startLatency;  ///< From dispatch to the first token.
   MovingAverage tokenInterval;
   LoadTimes loadTimes;
-  /// When dispatch is to be tried again without any event; kNever: not needed.
+  /// Time of the next dispatch without any event; kNever if none is needed.
   base::TimePoint dispatchAt = base::kNever;
 };
 
-/// Load of a target's replicas at the time of an estimate.
+/// State of a target's queue and replicas at the time of an estimate.
 struct QueueSituation {
   std::size_t readyReplicas = 0;
-  std::size_t ahead = 0;  ///< Waiting requests that are served before.
+  std::size_t ahead = 0;  ///< Waiting requests that are served earlier.
 };
 
-/// @return how long a request that arrives now would wait for its first token. Without a ready
-/// replica the load's remaining time comes first. Once there is one, requests ahead of it that
-/// find no free place leave at the observed service time. Whatever was not yet observed counts as
-/// nothing, but for the load: a request is not refused on a guess.
+/// @return the estimated time from the arrival of a request to its first token. Without a ready
+/// replica it includes the remaining time of the load. Requests ahead that find no free slot are
+/// served at the observed service time. Values that were not yet observed count as zero, except for
+/// the load, so that no request is refused on a guess.
 base::Duration estimateWait(const Target& target, const QueueSituation& situation,
                             base::TimePoint now, const RouterOptions& options);
 
--- a/src/routing/view_contents.h
+++ b/src/routing/view_contents.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What a router keeps of the cell's state: only what routing depends on, in compact records.
+/// Contents of a router's copy of the cell's state: only what routing depends on, in compact
+/// records.
 
 #include <map>
 #include <optional>
@@ -14,7 +15,7 @@
 
 namespace walnut::routing {
 
-/// A replica that may be given new work.
+/// Replica that may be given new work.
 struct ReadyReplica {
   base::ReplicaId id;
   base::EngineId engine;
@@ -22,22 +23,23 @@
   base::ZoneId zone;
 };
 
-/// What changed in a view.
+/// Set of changes of a view since they were last taken.
 struct ViewChange {
   bool everything = false;        ///< The whole state was replaced.
   bool membership = false;        ///< The cell's membership changed.
-  bool names = false;             ///< The names that are served changed, or may have.
+  bool names = false;             ///< The served names changed, or may have changed.
   std::set<std::string> targets;  ///< Names whose servable or replicas may have changed.
   std::set<base::EngineId> engines;
 };
 
-/// Tens of thousands of replicas name thousands of servables and engines, and each of these names
-/// is kept once: a record of a replica points to the entries of its servable and its engine. Maps
-/// don't move their entries, so the pointers stay valid; the contents are moved, never copied.
+/// Tables of models, adapters, engines and replicas. Tens of thousands of replicas refer to
+/// thousands of servables and engines, and each of these names is stored once: the record of a
+/// replica points to the entries of its servable and its engine. Maps don't move their entries, so
+/// the pointers stay valid; the contents are moved, never copied.
 ///
-/// Invariants: each replica stands in the lists of its servable and its engine, and in no other
-/// list; a servable's entry is there while it has replicas, an engine's while the engine is known
-/// or has replicas; a list of ready replicas that is kept is as of the present contents.
+/// Invariants: each replica is in the lists of its servable and its engine, and in no other list; a
+/// servable has an entry while it has replicas, an engine while it is known or has replicas; a
+/// cached list of ready replicas matches the current contents.
 class ViewContents {
  public:
   ViewContents() = default;
@@ -46,9 +48,10 @@
   ViewContents(ViewContents&&) = default;
   ViewContents& operator=(ViewContents&&) = default;
 
-  /// Applies one change. @param touched what changed is added to it.
+  /// Applies one change.
+  /// @param touched receives what has changed.
   void apply(const protocol::Change& change, ViewChange& touched);
-  /// Adds everything that is there.
+  /// Adds all names and engines to `touched`.
   void touchAll(ViewChange& touched) const;
 
   const consensus::Membership& membership() const { return membership_; }
@@ -64,13 +67,14 @@
   std::vector<ServedName> servedNames() const;
   /// @}
 
-  /// Drops all lists of ready replicas if they hold more than kMaxKeptReady. What readyReplicas
-  /// returned is no longer valid.
+  /// Drops all cached lists of ready replicas if they hold more than kMaxKeptReady. References that
+  /// readyReplicas returned become invalid.
   void boundReadyLists();
 
  private:
-  /// Of all lists together, at some 112 bytes each: less than 1 MB. Those of the models that are
-  /// asked for each second fit; making the list of a hundred replicas takes some 10 us.
+  /// Limit over all cached lists, at about 112 bytes a replica: less than 1 MB. The lists of the
+  /// models that are requested every second fit; building the list of a hundred replicas takes
+  /// about 10 us.
   static constexpr std::size_t kMaxKeptReady = 8192;
 
   struct Model {
@@ -81,11 +85,12 @@
     std::string model;
     resource::Version version = 0;
   };
-  using ReplicaIds = std::vector<base::ReplicaId>;  ///< In order.
-  /// Replicas of one model version, or of one adapter over it.
+  using ReplicaIds = std::vector<base::ReplicaId>;  ///< Sorted.
+  /// Replicas of one model version, or of one adapter based on it.
   struct ServableReplicas {
     ReplicaIds ids;
-    /// Answer of readyReplicas, if it was asked for since the last change that touched it.
+    /// Cached result of readyReplicas; absent if it was not requested since the last change that
+    /// affects it.
     mutable std::optional<std::vector<ReadyReplica>> ready;
   };
   struct ModelVersion {
@@ -100,13 +105,13 @@
   };
   using ServableTable = std::map<ModelVersion, VersionReplicas>;
   struct EngineEntry {
-    std::optional<resource::Engine> known;  ///< Without what routing does not need.
+    std::optional<resource::Engine> known;  ///< Without the fields that routing does not need.
     ReplicaIds replicas;
   };
   using EngineTable = std::map<base::EngineId, EngineEntry>;
   struct Replica {
     ServableTable::value_type* version = nullptr;
-    AdapterReplicas::value_type* adapter = nullptr;  ///< nullptr: the model itself.
+    AdapterReplicas::value_type* adapter = nullptr;  ///< nullptr for the model itself.
     EngineTable::value_type* engine = nullptr;
     base::Incarnation incarnation;
     bool ready = false;
@@ -141,7 +146,7 @@
   ServableTable servables_;
   EngineTable engines_;
   std::unordered_map<base::ReplicaId, Replica> replicas_;
-  mutable std::size_t keptReady_ = 0;  ///< Replicas in all lists of ready ones.
+  mutable std::size_t keptReady_ = 0;  ///< Number of replicas in all cached lists.
   consensus::Membership membership_;
   consensus::LogIndex membershipIndex_ = 0;
 };
