--- a/include/walnut/routing/router.h
+++ b/include/walnut/routing/router.h
@@ -24,7 +24,7 @@
 struct RouterOptions {
   base::CellId cell;
   base::ZoneId zone;
-  std::vector<base::Endpoint> controllers;  ///< Initial ones; the membership replaces them.
+  std::vector<base::Endpoint> controllers;  ///< Initial endpoints; the membership replaces them.
   base::Duration probeInterval = std::chrono::milliseconds(500);
   /// Maximum age of a confirmation; beyond it UnconfirmedPolicy applies.
   base::Duration freshnessLimit = std::chrono::seconds(3);
@@ -34,7 +34,7 @@
   base::Duration maxDeadline = std::chrono::hours(12);
   std::size_t maxQueuedPerTarget = 256;
   std::size_t maxQueued = 4096;
-  std::uint32_t maxRunningPerReplica = 32;  ///< From this router; the engine batches them.
+  std::uint32_t maxRunningPerReplica = 32;  ///< Requests of this router; the engine batches them.
   /// Maximum number of exported states that this process stores while no engine can hold them; 0
   /// disables storing.
   std::uint32_t maxKeptStates = 8;
@@ -44,8 +44,9 @@
   base::Duration retryBackoffMax = std::chrono::seconds(1);
   std::uint32_t breakerFailures = 5;  ///< Consecutive failures that open an engine's breaker.
   base::Duration breakerOpenFor = std::chrono::seconds(2);
-  base::Duration startTimeout = std::chrono::seconds(10);  ///< From dispatch to GenerateStarted.
-  base::Duration tokenTimeout = std::chrono::seconds(5);   ///< Between two events of a stream.
+  base::Duration startTimeout =
+      std::chrono::seconds(10);  ///< Time from dispatch to GenerateStarted.
+  base::Duration tokenTimeout = std::chrono::seconds(5);  ///< Time between two events of a stream.
   base::Duration claimTimeout = std::chrono::seconds(3);
   base::Duration claimWindow = std::chrono::minutes(10);  ///< Same as the cell's setting.
   /// Estimated duration of a load until one was observed.
@@ -59,7 +60,7 @@
   std::string prompt;
   std::uint32_t maxTokens = 0;
   engine::Priority priority = engine::Priority::interactive;
-  std::optional<base::TimePoint> deadline;  ///< For the whole answer; default: defaultDeadline.
+  std::optional<base::TimePoint> deadline;  ///< Deadline of the answer; default: defaultDeadline.
   bool repeatable = true;
   std::string idempotencyKey;               ///< Required if not repeatable.
   std::optional<base::TimePoint> issuedAt;  ///< Required if not repeatable.
--- a/src/routing/engine_selector.h
+++ b/src/routing/engine_selector.h
@@ -109,10 +109,11 @@
   const RouterOptions& options_;
   base::Random& random_;
   std::map<base::EngineId, EngineState> engines_;
-  std::map<base::ReplicaId, std::uint32_t> places_;  ///< Slots taken by this router; never zero.
+  /// Slots taken by this router; never zero.
+  std::map<base::ReplicaId, std::uint32_t> places_;
   PrefixIndex prefixes_;
-  std::map<base::EngineId, protocol::EngineOutcomes>
-      outcomes_;  ///< Outcomes not yet returned by takeOutcomes.
+  /// Outcomes not yet returned by takeOutcomes.
+  std::map<base::EngineId, protocol::EngineOutcomes> outcomes_;
   bool sawFailures_ = false;
 };
 
--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -90,7 +90,8 @@
   std::unique_ptr<Move> move;
   /// Set once tokens were delivered: the remaining ones have to come from the same weights.
   std::optional<resource::Servable> pinned;
-  std::vector<std::uint64_t> prefixHashes;  ///< Of the prompt; computed at the first attempt.
+  std::vector<std::uint64_t>
+      prefixHashes;  ///< Hashes of the prompt, computed at the first attempt.
 };
 
 }  // namespace walnut::routing
--- a/src/routing/request_machine.h
+++ b/src/routing/request_machine.h
@@ -66,8 +66,8 @@
 
  private:
   RequestState state_ = RequestState::queued;
-  Executed attempt_ = Executed::no;  ///< Of the current attempt.
-  Executed earlier_ = Executed::no;  ///< Of all earlier attempts combined.
+  Executed attempt_ = Executed::no;  ///< Outcome of the current attempt.
+  Executed earlier_ = Executed::no;  ///< Combined outcome of all earlier attempts.
   std::uint32_t delivered_ = 0;
   std::string deliveredText_;
 };
--- a/src/routing/target_table.h
+++ b/src/routing/target_table.h
@@ -23,8 +23,8 @@
   /// was ready, so that its caller finds one on a retry.
   base::TimePoint refusedDemandUntil;
   engine::Priority refusedPriority = engine::Priority::interactive;
-  MovingAverage serviceTime;   ///< From dispatch to the end.
-  MovingAverage startLatency;  ///< From dispatch to the first token.
+  MovingAverage serviceTime;   ///< Time from dispatch to the end.
+  MovingAverage startLatency;  ///< Time from dispatch to the first token.
   MovingAverage tokenInterval;
   LoadTimes loadTimes;
   /// Time of the next dispatch without any event; kNever if none is needed.
--- a/test/routing/breaker_test.cpp
+++ b/test/routing/breaker_test.cpp
@@ -1,4 +1,5 @@
-/// The circuit breaker of an engine, as the whole router uses it.
+/// Tests the circuit breaker of an engine through the whole router. A trial that ended without an
+/// outcome could leave the breaker half open for ever.
 
 #include <functional>
 
@@ -41,7 +42,8 @@
   };
   const Case cases[] = {
       {"the deadline of its request", [](RouterHarness& harness) { harness.advance(2s); }},
-      {"its caller left", [](RouterHarness& harness) { harness.give(CallerGone{{"trial"}}); }},
+      {"its caller disconnected",
+       [](RouterHarness& harness) { harness.give(CallerGone{{"trial"}}); }},
       {"the engine is overloaded",
        [](RouterHarness& harness) {
          harness.fail(harness.started.back(), base::ErrorCode::engineOverloaded,
--- a/test/routing/cluster_view_test.cpp
+++ b/test/routing/cluster_view_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a router keeps of the configuration, and what it derives from it.
+/// Tests the router's copy of the configuration and the data derived from it.
 
 #include "routing/cluster_view.h"
 
@@ -21,7 +21,7 @@
 
 const resource::Servable kServable{"m", "v1", ""};
 
-/// A view of a model with a ready replica, as of index 1.
+/// Makes a view of a model with a ready replica, as of index 1.
 ClusterView makeView() {
   ClusterView view;
   view.applyPage({1}, protocol::WatchSnapshotPage{
@@ -169,7 +169,7 @@
 
 namespace {
 
-/// The rule of readiness over plain records, without any list that has to be kept up.
+/// Reference model of readiness over plain records, without any incrementally updated lists.
 struct PlainState {
   std::map<base::EngineId, resource::Engine> engines;
   std::map<base::ReplicaId, resource::Replica> replicas;
--- a/test/routing/demand_reporter_test.cpp
+++ b/test/routing/demand_reporter_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a router tells the leader of its demand, and when.
+/// Tests which demand a router reports to the leader, and when.
 
 #include "routing/demand_reporter.h"
 
@@ -17,7 +17,7 @@
 constexpr base::Duration kStep = std::chrono::milliseconds(200);
 constexpr LeaderSession kLeader{{7}, 1};
 
-/// A reporter over one model, in virtual time.
+/// A reporter for one model, in virtual time.
 class Fixture {
  public:
   Fixture() {
@@ -26,7 +26,8 @@
     CHECK_TRUE(run().value().complete);
   }
 
-  /// Lets the time pass to the next interval. @return the report sent then.
+  /// Advances the time to the next interval.
+  /// @return the report sent then.
   std::optional<protocol::DemandReport> run() {
     now_ += kStep;
     std::vector<RouterAction> actions;
@@ -36,7 +37,7 @@
     }
     return std::get<protocol::DemandReport>(std::get<SendToController>(actions.front()).message);
   }
-  /// @return entries sent within the next `intervals`.
+  /// @return the entries sent within the next `intervals`.
   std::vector<protocol::Demand> entriesWithin(int intervals) {
     std::vector<protocol::Demand> entries;
     for (int number = 0; number < intervals; ++number) {
@@ -60,7 +61,7 @@
     targets_["m"].refusedDemandUntil = until;
     reporter_.changed("m");
   }
-  /// A stream that began with `version` waits for an engine from now on.
+  /// Adds a stream that began with `version` and waits for an engine from now on.
   Request& streamWaits(const std::string& version) {
     CallerRequest caller;
     caller.request = {"stream"};
--- a/test/routing/engine_lost_test.cpp
+++ b/test/routing/engine_lost_test.cpp
@@ -1,4 +1,4 @@
-/// What becomes of requests whose engine is gone while the cell still lists its replica.
+/// Tests requests whose engine is gone while the cell still lists its replica.
 
 #include <algorithm>
 #include <functional>
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr base::Duration kDeadline = 30s;
-/// How long the engine is gone before the cell has another replica.
+/// Time from the loss of the engine until the cell has another replica.
 constexpr base::Duration kOutage = 12s;
 
 struct Answer {
@@ -24,12 +24,12 @@
   engine::GenerateFailed::Started started;
 };
 
-/// An engine that gives the same answer to all attempts, until another one has the model.
+/// Engine that fails all attempts in the same way, until another one has the model.
 class LostEngine {
  public:
   explicit LostEngine(RouterHarness& harness) : harness_(harness) {}
 
-  /// Answers all attempts of the time that passes.
+  /// Advances the time and fails all attempts that are started meanwhile.
   void answerFor(base::Duration duration, const Answer& answer) {
     const base::TimePoint end = harness_.now() + duration;
     answerAll(answer);
@@ -86,8 +86,8 @@
     bool repeatable;
   };
   const Case cases[] = {
-      {"nobody listens", base::ErrorCode::connectFailed, true},
-      {"nobody listens, not repeatable", base::ErrorCode::connectFailed, false},
+      {"connection refused", base::ErrorCode::connectFailed, true},
+      {"connection refused, not repeatable", base::ErrorCode::connectFailed, false},
       {"restarted without the model", base::ErrorCode::modelNotLoaded, true},
   };
   for (const Case& test : cases) {
@@ -116,8 +116,9 @@
   LostEngine lost(harness);
   lost.answerFor(kOutage, {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
   CHECK_EQUAL(0U, harness.refusals.size());
-  // Those that were under way when it was lost, those that take their places before the breaker
-  // opens, and one trial each time it may be tried: after a half of the set time at the earliest.
+  // The limit is the sum of the attempts in progress when the engine was lost, those that took
+  // slots before the breaker opened, and one trial each time the breaker allows it, at the earliest
+  // after half of the configured time.
   const RouterOptions options;
   const auto trials = static_cast<std::size_t>(kOutage / (options.breakerOpenFor / 2));
   CHECK_TRUE(lost.attempts() <= options.maxRunningPerReplica + options.breakerFailures + trials);
--- a/test/routing/fake_cell.h
+++ b/test/routing/fake_cell.h
@@ -77,7 +77,7 @@
   return replica;
 }
 
-/// The committed changes; the index of each is its place, from 1.
+/// Fake cell with a list of committed changes; the index of each is its position, starting at 1.
 class FakeCell {
  public:
   FakeCell() { commit(protocol::MembershipChanged{1, cellMembership()}); }
@@ -97,7 +97,7 @@
     return reply;
   }
 
-  /// @return a snapshot in two pages for a router that has nothing, else a delta.
+  /// @return a snapshot in two pages for a router without any state, else a delta.
   std::vector<protocol::Message> watch(consensus::LogIndex from) const {
     if (from > 0) {
       protocol::WatchDelta delta{from, index(), {}};
--- a/test/routing/load_estimate_test.cpp
+++ b/test/routing/load_estimate_test.cpp
@@ -1,4 +1,4 @@
-/// What a router makes of the load times that it has observed.
+/// Tests how a router uses the load durations that it has observed.
 
 #include "routing/router_harness.h"
 
@@ -15,7 +15,7 @@
 const protocol::Change kReady = protocol::ReplicaChanged{replicaRecord(5, "model", 0)};
 const protocol::Change kRemoved = protocol::ReplicaRemoved{{5}};
 
-/// A load that takes this long from the first request.
+/// Simulates a load that takes this long from the first request.
 void load(RouterHarness& harness, const std::string& id, base::Duration time) {
   harness.request(id, time + 5s);
   harness.advance(time);
@@ -24,7 +24,7 @@
   harness.change(kRemoved);
 }
 
-/// @return whether the leader, after some more reports, knows of a waiting request.
+/// @return whether the leader's latest entry, after further reports, has a waiting request.
 bool reportsDemand(RouterHarness& harness) {
   harness.advance(1500ms);
   bool waiting = false;
--- a/test/routing/outage_wave_test.cpp
+++ b/test/routing/outage_wave_test.cpp
@@ -1,4 +1,5 @@
-/// What many routers together do to an engine that goes and comes back.
+/// Tests the load that many routers together put on an engine that fails and recovers: synchronized
+/// retries would overload it.
 
 #include <cstdio>
 
@@ -15,18 +16,20 @@
 namespace {
 
 constexpr std::size_t kRouters = 100;
-constexpr std::size_t kStreams = 4;  ///< Open at each router when the engine is lost.
+constexpr std::size_t kStreams = 4;  ///< Open at each router when the engine fails.
 constexpr base::Duration kArrivalInterval = 500ms;
 constexpr base::Duration kNoArrivals = 10000h;
 constexpr base::Duration kDeadline = 60s;
 constexpr base::Duration kOutage = 20s;
 constexpr base::Duration kReturn = 5s;
-/// Of an engine that said that it lacks the model: half of the mean.
+/// Shortest time for which an engine that answered that it lacks the model is avoided: half of the
+/// mean.
 constexpr base::Duration kShortestAvoidance = 500ms;
-/// Until each router's breaker has opened for the first time.
+/// Time until each router's circuit breaker has opened for the first time.
 constexpr base::Duration kOpening = 1s;
-/// Of a hundred routers whose trials are spread evenly, 5 fall into a window of 100 ms. Thrice that
-/// is no wave: all of them would be 100.
+/// Maximum number of attempts in a window of 100 ms. If the trials of a hundred routers are spread
+/// evenly, 5 fall into a window. Three times that number is no wave; all routers at once would be
+/// 100.
 constexpr std::size_t kMostInWindow = 15;
 
 }  // namespace
@@ -45,8 +48,9 @@
   fleet.bringBack(0);
   fleet.run(kReturn);
   const std::size_t recovering = RouterFleet::peak(fleet.recoveredPerStep, 0s);
-  std::printf("out of reach: %zu attempts, in 100 ms at most %zu; routers that return %zu\n",
-              failed, peak, recovering);
+  std::printf(
+      "engine unreachable: %zu attempts, at most %zu in 100 ms; at most %zu recoveries in 100 ms\n",
+      failed, peak, recovering);
   const RouterOptions options;
   const auto trials = static_cast<std::size_t>(kOutage / (options.breakerOpenFor / 2));
   CHECK_TRUE(failed <= kRouters * (options.breakerFailures + kStreams + trials));
@@ -64,7 +68,7 @@
   fleet.run(kOutage);
   const std::size_t failed = RouterFleet::total(fleet.failedPerStep);
   const std::size_t peak = RouterFleet::peak(fleet.failedPerStep, kOpening);
-  std::printf("without the model: %zu attempts, in 100 ms at most %zu\n", failed, peak);
+  std::printf("engine without the model: %zu attempts, at most %zu in 100 ms\n", failed, peak);
   const auto trials = static_cast<std::size_t>(kOutage / kShortestAvoidance);
   CHECK_TRUE(failed <= kRouters * (kStreams + trials));
   CHECK_TRUE(peak <= 2 * kMostInWindow);
--- a/test/routing/retry_budget_test.cpp
+++ b/test/routing/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-/// The bound on retries, as the whole router uses it.
+/// Tests the retry budget through the whole router.
 
 #include "routing/router_harness.h"
 
@@ -14,18 +14,18 @@
 
 constexpr std::size_t kEngines = 3;
 constexpr std::size_t kRequests = 150;
-constexpr std::size_t kFloor = 10;  ///< Retries in a window without any first attempt.
+constexpr std::size_t kFloor = 10;  ///< Retries allowed in a window without any first attempt.
 constexpr std::size_t kRetriesInWindow = kFloor + kRequests / 5;
 constexpr base::Duration kWindow = 10s;
 
 RouterOptions roomForAll() {
   RouterOptions options;
   options.maxRunningPerReplica = kRequests;
-  options.startTimeout = 10min;  // Streams of the other engines need no events here.
+  options.startTimeout = 10min;  // The streams of the other engines get no events in this test.
   return options;
 }
 
-/// Three engines with the model, and open streams on all of them.
+/// Three engines with the model, each with open streams.
 struct OpenStreams {
   OpenStreams() : router(roomForAll()) {
     for (std::size_t engine = 1; engine < kEngines; ++engine) {
@@ -65,7 +65,7 @@
   CHECK_TRUE(broken > kRetriesInWindow);
   open.router.advance(kWindow / 2);
   CHECK_EQUAL(kRetriesInWindow, open.router.started.size());
-  constexpr std::size_t kArrivals = 15;  // One a second.
+  constexpr std::size_t kArrivals = 15;  // One per second.
   for (std::size_t number = 0; number < kArrivals; ++number) {
     open.router.request("later-" + std::to_string(number), 10min);
     open.router.advance(1s);
--- a/test/routing/router_fleet.h
+++ b/test/routing/router_fleet.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Many routers in one virtual time that share the engines of one model.
+/// Many routers in a common virtual time that share the engines of one model.
 
 #include <algorithm>
 #include <memory>
@@ -13,7 +13,8 @@
 
 namespace walnut::routing::testing {
 
-/// The routers see each change of an engine at the same instant, which is the worst case for waves.
+/// Runs many routers. They see each change of an engine at the same instant, which is the worst
+/// case for synchronized retries.
 class RouterFleet {
  public:
   static constexpr base::Duration kStep = std::chrono::milliseconds(5);
@@ -31,7 +32,7 @@
     }
   }
 
-  /// Opens streams at each router that go on until the engine is lost.
+  /// Opens streams at each router that continue until the engine fails.
   void openStreams(std::size_t perRouter) {
     for (Member& member : members_) {
       for (std::size_t number = 0; number < perRouter; ++number) {
@@ -44,14 +45,15 @@
       }
     }
   }
-  /// Another replica of the model is ready on the engine.
+  /// Makes another replica of the model ready on the engine.
   void addReplica(std::size_t engine) {
     for (Member& member : members_) {
       member.router->change(protocol::EngineChanged{engineRecord(engine)});
       member.router->change(protocol::ReplicaChanged{replicaRecord(engine + 1, "model", engine)});
     }
   }
-  /// The engine's streams break, and it answers attempts by the code, as not run.
+  /// Breaks the engine's streams. The engine then fails all attempts with the code, as not
+  /// executed.
   void lose(std::size_t engine, base::ErrorCode answer) {
     answer_ = answer;
     lost_.insert(engineRecord(engine).id);
@@ -67,7 +69,7 @@
   }
   void bringBack(std::size_t engine) { lost_.erase(engineRecord(engine).id); }
 
-  /// Engines within reach answer each attempt at once and whole.
+  /// Advances the time. Reachable engines answer each attempt completely and at once.
   void run(base::Duration duration) {
     for (base::Duration passed{0}; passed < duration; passed += kStep) {
       std::size_t failed = 0;
@@ -100,7 +102,7 @@
     }
   }
 
-  /// @return the greatest sum over a window, from the given time after the first run on.
+  /// @return the greatest sum over any window that begins at least `from` after the first step.
   static std::size_t peak(const std::vector<std::size_t>& perStep, base::Duration from) {
     const auto width = static_cast<std::size_t>(kWindow / kStep);
     std::size_t greatest = 0;
@@ -129,15 +131,15 @@
     return count;
   }
 
-  std::vector<std::size_t> failedPerStep;     ///< Attempts at lost engines.
-  std::vector<std::size_t> recoveredPerStep;  ///< Routers whose last attempt had failed.
+  std::vector<std::size_t> failedPerStep;     ///< Attempts at failed engines.
+  std::vector<std::size_t> recoveredPerStep;  ///< Routers whose previous attempt had failed.
   std::size_t answered = 0;
 
  private:
   struct Member {
     std::unique_ptr<RouterHarness> router;
     base::TimePoint nextArrival;
-    std::size_t seen = 0;  ///< Attempts that were answered, or are in `open`.
+    std::size_t seen = 0;  ///< Attempts that were answered or are in `open`.
     std::vector<StartAttempt> open;
     bool recovered = true;
   };
@@ -155,7 +157,7 @@
   base::Duration deadline_;
   std::vector<Member> members_;
   std::set<base::EngineId> lost_;
-  base::ErrorCode answer_ = base::ErrorCode::connectFailed;  ///< Of lost engines.
+  base::ErrorCode answer_ = base::ErrorCode::connectFailed;  ///< Error code of failed engines.
   std::uint64_t nextRequest_ = 1;
 };
 
--- a/test/routing/router_harness.h
+++ b/test/routing/router_harness.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A router in hand-driven virtual time, connected to a fake cell that answers at once.
+/// A router in virtual time that the test advances, connected to a fake cell that answers at once.
 
 #include <memory>
 #include <string>
@@ -12,7 +12,8 @@
 
 namespace walnut::routing::testing {
 
-/// Answers the router's messages to the cell itself; the rest of its actions is the test's.
+/// Runs one router. Answers the router's messages to the cell itself and records its other actions
+/// for the test.
 class RouterHarness {
  public:
   /// @param ready whether the model is loaded on the engine from the start.
@@ -30,7 +31,7 @@
     advance(std::chrono::seconds(1));
   }
 
-  /// Runs all wake-ups of the time that passes.
+  /// Advances the time and runs all timers that become due.
   void advance(base::Duration duration) {
     const base::TimePoint end = now_ + duration;
     while (router_->nextWakeup() <= end) {
@@ -48,7 +49,7 @@
     }
   }
 
-  /// Commits a change in the cell and lets the router learn of it.
+  /// Commits a change in the cell and sends it to the router.
   void change(const protocol::Change& change) {
     const consensus::LogIndex before = cell.index();
     cell.commit(change);
@@ -65,7 +66,7 @@
     give(CallerRequested{caller});
   }
 
-  /// A request that may not be repeated; the cell grants its key.
+  /// Submits a request that must not be repeated; the cell grants its key.
   void requestOnce(const std::string& id, base::Duration deadline, std::uint32_t maxTokens) {
     CallerRequest caller;
     caller.request = {id};
@@ -92,7 +93,7 @@
   const Router& router() const { return *router_; }
 
   FakeCell cell;
-  bool cellAnswers = true;              ///< False: the cell's answers are lost.
+  bool cellAnswers = true;              ///< If false, the cell's answers are lost.
   std::vector<ExportAttempt> exports;   ///< In order.
   std::vector<HoldState> holds;         ///< In order.
   std::vector<KeepState> keeps;         ///< In order.
--- a/test/routing/scenario_oracle.h
+++ b/test/routing/scenario_oracle.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What must hold for each request, judged by what callers and engines saw alone.
+/// Checks the required properties of each request, based only on what callers and engines observed.
 
 #include <CppUTest/TestHarness.h>
 
@@ -20,12 +20,12 @@
   struct Record {
     CallerRequest caller;
     base::TimePoint deadline;
-    base::TimePoint readAt;  ///< By the router.
+    base::TimePoint readAt;  ///< Time at which the router read the request.
     std::uint32_t tokens = 0;
     std::uint32_t terminals = 0;
     bool gone = false;
-    bool mustBeRefused = false;  ///< The router could not know its configuration to be current.
-    std::map<std::uint64_t, Run> runs;  ///< By attempt.
+    bool mustBeRefused = false;         ///< The router could not confirm its configuration.
+    std::map<std::uint64_t, Run> runs;  ///< Runs by attempt.
   };
 
   void requested(const CallerRequest& caller, base::TimePoint readAt, bool mustBeRefused) {
@@ -45,15 +45,16 @@
 
   void token(const CallerToken& token) {
     Record& record = at(token.request);
-    expect(record.terminals == 0 && !record.gone, "token after the end", token.request);
+    expect(record.terminals == 0 && !record.gone, "token after the terminal output", token.request);
     expect(token.offset == record.tokens, "token out of order", token.request);
-    expect(token.text == tokenText(token.request, token.offset), "foreign token", token.request);
+    expect(token.text == tokenText(token.request, token.offset), "token of another request",
+           token.request);
     ++record.tokens;
   }
   void ended(const CallerEnded& ended, base::TimePoint lastStep) {
     Record& record = terminal(ended.request, lastStep);
-    expect(ended.tokenCount == record.tokens, "false count", ended.request);
-    expect(record.tokens == record.caller.maxTokens, "answer not whole", ended.request);
+    expect(ended.tokenCount == record.tokens, "wrong token count", ended.request);
+    expect(record.tokens == record.caller.maxTokens, "incomplete answer", ended.request);
     ++answered;
   }
   void refused(const CallerRefused& refused, base::TimePoint lastStep) {
@@ -67,12 +68,14 @@
   void started(const engine::GenerateRequest& generate) {
     Record& record = at(generate.request);
     expect(!record.mustBeRefused, "admitted while unconfirmed", generate.request);
-    expect(record.terminals == 0 && !record.gone, "attempt after the end", generate.request);
+    expect(record.terminals == 0 && !record.gone, "attempt after the terminal output",
+           generate.request);
     expect(generate.offset == record.tokens, "resumed at another offset", generate.request);
     if (!record.caller.repeatable) {
       for (const auto& [attempt, run] : record.runs) {
         const bool sameRun = run.exported && generate.kvSource.has_value();
-        expect(run.saidNotStarted || sameRun, "may run twice", generate.request);
+        expect(run.saidNotStarted || sameRun, "non-repeatable request may run twice",
+               generate.request);
       }
     }
     moved += generate.kvSource.has_value() ? 1 : 0;
@@ -82,7 +85,7 @@
   void finish() const {
     for (const auto& [id, record] : records_) {
       const std::uint32_t wanted = record.gone ? 0 : 1;
-      expect(record.gone || record.terminals == wanted, "terminal outputs", {id});
+      expect(record.gone || record.terminals == wanted, "no terminal output", {id});
     }
   }
   bool live(const base::RequestId& request) const {
@@ -98,19 +101,19 @@
   }
 
   std::uint64_t answered = 0;
-  std::uint64_t moved = 0;    ///< Attempts that took up an export.
-  std::uint64_t resumed = 0;  ///< Attempts that recompute what was delivered.
+  std::uint64_t moved = 0;    ///< Attempts that resumed from an export.
+  std::uint64_t resumed = 0;  ///< Attempts that recompute delivered tokens.
   std::map<base::ErrorCode, std::uint64_t> refusals;
 
  private:
   Record& at(const base::RequestId& request) { return records_.at(request.value); }
-  /// @param lastStep when the router ran before: the request had to be ended then at the latest
-  /// if its deadline had passed.
+  /// @param lastStep time of the router's previous step: a request whose deadline had passed then
+  /// must have been ended by it.
   Record& terminal(const base::RequestId& request, base::TimePoint lastStep) {
     Record& record = at(request);
-    expect(!record.gone, "terminal output after the caller is gone", request);
+    expect(!record.gone, "terminal output after the caller disconnected", request);
     expect(++record.terminals == 1, "second terminal output", request);
-    // One that was read late, because the router was frozen, is answered in that same step.
+    // A request that was read late, because the router was frozen, is answered in the same step.
     expect(lastStep < record.deadline || record.readAt >= record.deadline, "late", request);
     return record;
   }
--- a/test/routing/scenario_test.cpp
+++ b/test/routing/scenario_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The whole router against a fake cell and fake engines, over many seeds of faults.
+/// Runs the whole router against a fake cell and fake engines with random faults, over many seeds.
 
 #include "routing/scenario_world.h"
 
@@ -24,7 +24,8 @@
       refusals[code] += count;
     }
   }
-  // The faults must not be so many that nothing else is tried, nor so few that none is.
+  // Ensures that the faults are not so frequent that no request succeeds, nor so rare that none
+  // occurs.
   CHECK_TRUE(answered > 2000);
   CHECK_TRUE(moved > 30);
   CHECK_TRUE(resumed > 100);
--- a/test/routing/scenario_world.cpp
+++ b/test/routing/scenario_world.cpp
@@ -125,7 +125,7 @@
   caller.deadline = now_ + delay(500, 10000);
   caller.repeatable = random_.chance(0.6);
   if (!caller.repeatable) {
-    // Some keys are used twice.
+    // Some keys are used by two requests.
     caller.idempotencyKey = "k" + std::to_string(random_.uniform(1, 2 * kRequests));
     caller.issuedAt = now_;
   }
@@ -414,7 +414,7 @@
   const auto watches = watches_;
   for (const auto& [controller, index] : watches) {
     if (now_ < cellCutUntil_ || random_.chance(0.1)) {
-      continue;  // Lost: the router has to notice that this controller lags.
+      continue;  // The delta is lost: the router has to detect that this controller lags.
     }
     watches_[controller] = cell_.index();
     for (const protocol::Message& message : cell_.watch(index)) {
--- a/test/routing/scenario_world.h
+++ b/test/routing/scenario_world.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A router in virtual time between a fake cell, fake engines and callers, with seeded faults.
+/// A router in virtual time with a fake cell, fake engines and callers, and seeded faults.
 
 #include <functional>
 #include <map>
@@ -19,16 +19,16 @@
 
 inline constexpr std::size_t kEngines = 4;
 
-/// Chance of each fault, per occasion.
+/// Probability of each fault, per occasion.
 struct Faults {
   double connectFailed = 0.04;
   double refused = 0.04;
   double lost = 0.04;        ///< The stream breaks at some token.
-  double silent = 0.02;      ///< The stream falls silent at some token.
+  double silent = 0.02;      ///< The stream stalls at some token.
   double duplicated = 0.05;  ///< A token is sent twice.
-  double missing = 0.02;     ///< A token is left out.
+  double missing = 0.02;     ///< A token is skipped.
   double crossed = 0.05;     ///< A token arrives under another request's id.
-  double disconnect = 0.02;  ///< Of a controller, per probe.
+  double disconnect = 0.02;  ///< A controller disconnects, per probe.
   double claimLost = 0.1;
   double callerGone = 0.05;
 };
@@ -53,7 +53,7 @@
     return random_.between(std::chrono::milliseconds(lowMillis),
                            std::chrono::milliseconds(highMillis));
   }
-  /// Hands the input to the router; while it is frozen, when it thaws.
+  /// Passes the input to the router; if it is frozen, as soon as it resumes.
   void deliver(RouterInput input);
   void wake();
   void stepRouter(const RouterInput& input);
@@ -95,7 +95,8 @@
   std::uint64_t nextRequest_ = 1;
   std::map<std::uint64_t, Running> running_;
   std::map<std::string, std::uint32_t> exports_;
-  std::map<std::uint64_t, std::uint32_t> kept_;  ///< States at the router: offset by attempt.
+  /// Offsets of the states that the router stores, by attempt.
+  std::map<std::uint64_t, std::uint32_t> kept_;
   std::set<std::size_t> reclaimed_;
   bool stopped_ = false;
   bool stopAsked_ = false;
--- a/test/routing/state_parking_test.cpp
+++ b/test/routing/state_parking_test.cpp
@@ -1,5 +1,5 @@
-/// What becomes of a stream that may not be repeated when its machine goes and no replica is ready
-/// elsewhere.
+/// Tests streams that must not be repeated whose machine is reclaimed while no replica is ready
+/// elsewhere. Without a parked copy of its state such a stream would break.
 
 #include "routing/router_harness.h"
 
@@ -18,7 +18,7 @@
 
 engine::HoldResult refusal(base::ErrorCode code) { return base::Error{code, "", ""}; }
 
-/// A stream on engine 0, whose machine is reclaimed. Engines 1 and 2 stay and have no replica.
+/// A stream on engine 0, whose machine is reclaimed. Engines 1 and 2 stay but have no replica.
 struct ParkingHarness : RouterHarness {
   explicit ParkingHarness(base::Duration deadline = 60s, const RouterOptions& options = {})
       : RouterHarness(options) {
@@ -34,7 +34,7 @@
 
   base::AttemptId attempt() const { return started.back().generate.attempt; }
 
-  /// The engine's machine is reclaimed in `grace`.
+  /// Announces that the engine's machine is reclaimed after `grace`.
   void leave(std::size_t number, base::Duration grace) {
     resource::Engine reclaimed = engineRecord(number);
     reclaimed.status = resource::EngineStatus::leaving;
@@ -42,7 +42,7 @@
     change(protocol::EngineChanged{reclaimed});
   }
 
-  /// Lets the time come in which the stream has to leave, and answers its export.
+  /// Advances to the time at which the stream has to move, and answers its export.
   void exportStream() {
     advance(2100ms);
     CHECK_EQUAL(1U, exports.size());
@@ -60,7 +60,7 @@
     answerHold(engine::HoldReply{"held"});
   }
 
-  /// @return what the leader was last told of waiting requests.
+  /// @return the number of waiting requests that was last reported to the leader.
   std::uint32_t reportedWaiting() const {
     std::uint32_t waiting = 0;
     for (const protocol::Message& message : sent) {
@@ -91,7 +91,7 @@
   STRCMP_EQUAL("kv-source", hold.hold.source.handle.c_str());
   CHECK_TRUE(hold.hold.source.endpoint == engineRecord(0).endpoint);
   harness.advance(300ms);
-  CHECK_EQUAL(1U, harness.reportedWaiting());  // Also while the engine has not answered.
+  CHECK_EQUAL(1U, harness.reportedWaiting());  // It is reported while the engine has not answered.
   harness.answerHold(engine::HoldReply{"held"});
   harness.change(protocol::EngineRemoved{engineRecord(0).id});
   harness.advance(10s);
@@ -214,7 +214,7 @@
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK_TRUE(harness.refusals[0].error.code == base::ErrorCode::streamBroken);
   CHECK_TRUE(harness.refusals[0].executed == Executed::yes);
-  CHECK_EQUAL(1U, harness.cancels.size());  // The holder may free the copy.
+  CHECK_EQUAL(1U, harness.cancels.size());  // The holder is notified to free the copy.
 }
 
 TEST(StateParkingTest, replacedVersionThatIsDeclaredIsWaitedForAndTakenUp) {
@@ -271,7 +271,7 @@
   harness.exportStream();
   harness.give(CallerGone{{"once"}});
   CHECK_EQUAL(2U, harness.cancels.size());
-  harness.answerHold(engine::HoldReply{"held"});  // Of nobody.
+  harness.answerHold(engine::HoldReply{"held"});  // No request waits for this answer.
   harness.advance(1s);
   CHECK_EQUAL(0U, harness.reportedWaiting());
   CHECK_EQUAL(0U, harness.refusals.size());
@@ -282,13 +282,13 @@
   harness.cellAnswers = false;
   harness.advance(2s);
   CHECK_EQUAL(1U, harness.exports.size());
-  harness.advance(1200ms);  // The last confirmation is older than the limit now.
+  harness.advance(1200ms);  // The last confirmation is now older than the limit.
   harness.give(
       EngineExported{{"once"}, harness.attempt(), engine::ExportReply{"kv-source", kDelivered}});
   CHECK_EQUAL(0U, harness.holds.size());
 }
 
-/// As above, but no engine stays: engine 1 is gone, engine 2 is drained.
+/// Like ParkingHarness, but no engine stays: engine 1 is gone, engine 2 is drained.
 struct KeepingHarness : ParkingHarness {
   explicit KeepingHarness(const RouterOptions& options = {}) : ParkingHarness(60s, options) {
     change(protocol::EngineRemoved{engineRecord(1).id});
@@ -373,6 +373,6 @@
   options.maxKeptStates = 0;
   KeepingHarness harness(options);
   harness.advance(3s);
-  CHECK_EQUAL(0U, harness.exports.size());  // It may still end where it runs.
+  CHECK_EQUAL(0U, harness.exports.size());  // The stream may still end at its engine.
   CHECK_EQUAL(0U, harness.keeps.size());
 }
--- a/test/routing/stream_move_test.cpp
+++ b/test/routing/stream_move_test.cpp
@@ -1,4 +1,4 @@
-/// When a stream on a machine that is taken away asks for another replica.
+/// Tests when a stream on a machine that is being reclaimed requests another replica.
 
 #include "routing/router_harness.h"
 
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t kLongAnswer = 100;
 
-/// Delivers the next tokens of the attempt, one each interval.
+/// Delivers the next `count` tokens of the attempt, one per interval.
 void stream(RouterHarness& harness, const StartAttempt& start, std::uint32_t from,
             std::uint32_t count, base::Duration interval) {
   for (std::uint32_t offset = from; offset < from + count; ++offset) {
@@ -36,7 +36,8 @@
   return waiting;
 }
 
-/// A stream of this pace, of a target whose other streams were fast, when its machine is reclaimed.
+/// @return whether a stream with this token interval requests another replica when its machine is
+/// reclaimed, after other streams of its target were fast.
 bool asksForReplica(base::Duration interval) {
   RouterHarness harness;
   harness.request("fast", 60s, 20);
@@ -68,7 +69,7 @@
   reclaimed.reclaimAt = harness.now() + 3s;
   harness.change(protocol::EngineChanged{reclaimed});
   stream(harness, harness.started[0], 3, 25, 100ms);
-  CHECK_EQUAL(0U, harness.exports.size());  // Nobody is there that could hold its state.
+  CHECK_EQUAL(0U, harness.exports.size());  // No engine could hold its state.
   harness.change(protocol::EngineChanged{engineRecord(1)});
   harness.change(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
   harness.advance(300ms);
--- a/test/routing/unconfirmed_test.cpp
+++ b/test/routing/unconfirmed_test.cpp
@@ -1,4 +1,4 @@
-/// A router that can't confirm that its configuration is current hands nothing to engines.
+/// Tests that a router which cannot confirm its configuration sends nothing to engines.
 
 #include "routing/router_harness.h"
 
