--- a/src/routing/attempt_handler.cpp
+++ b/src/routing/attempt_handler.cpp
@@ -65,7 +65,7 @@
     return;
   }
   request.machine.enter(RequestState::streaming);
-  core_.selector.succeeded(request.attempt->engine);
+  core_.selector.recordSuccess(request.attempt->engine);
   core_.dispatchDue.insert(request.caller.target);  // The circuit breaker may have closed.
   lifecycle_.dropMove(request);                     // The new engine has imported the export.
   const resource::Engine* engine = core_.view.engine(request.attempt->engine);
@@ -75,7 +75,7 @@
 }
 
 void AttemptHandler::handle(Request& request, const engine::GenerateStarted& event) {
-  core_.selector.loadReported(core_.now, request.attempt->engine, event.load);
+  core_.selector.recordLoad(core_.now, request.attempt->engine, event.load);
   enterStreaming(request);
   if (request.machine.state() == RequestState::streaming) {
     request.extended = false;
@@ -119,7 +119,7 @@
 }
 
 void AttemptHandler::handle(Request& request, const engine::GenerateEnded& event) {
-  core_.selector.loadReported(core_.now, request.attempt->engine, event.load);
+  core_.selector.recordLoad(core_.now, request.attempt->engine, event.load);
   enterStreaming(request);
   if (event.tokenCount != request.machine.delivered()) {
     fail(request, {{ErrorCode::streamBroken, "", "the engine's count of tokens differs"}, true});
@@ -148,9 +148,9 @@
 void AttemptHandler::noteRefusal(const base::EngineId& engine, ErrorCode code) {
   if (code == ErrorCode::engineLeaving) {
     const resource::Engine* known = core_.view.engine(engine);
-    core_.selector.leaving(engine, known == nullptr ? base::Incarnation{} : known->incarnation);
+    core_.selector.markLeaving(engine, known == nullptr ? base::Incarnation{} : known->incarnation);
   } else if (code == ErrorCode::modelNotLoaded) {
-    core_.selector.lacksReplica(core_.now, engine);
+    core_.selector.recordMissingReplica(core_.now, engine);
   } else if (code == ErrorCode::engineOverloaded) {
     core_.selector.avoidUntil(engine,
                               core_.now + core_.random.between(core_.options.retryBackoffMin,
@@ -170,7 +170,7 @@
   const base::EngineId engine = request.attempt->engine;
   noteRefusal(engine, failure.error.code);
   if (failure.engineFault) {
-    core_.selector.failed(core_.now, engine);
+    core_.selector.recordFailure(core_.now, engine);
   }
   request.failedEngine = engine;
   lifecycle_.release(request, failure.end);
--- a/src/routing/circuit_breaker.h
+++ b/src/routing/circuit_breaker.h
@@ -28,17 +28,17 @@
     return state_ == BreakerState::open ? openUntil_ : base::TimePoint();
   }
   /// Records that an attempt is made.
-  void attempted() {
+  void recordAttempt() {
     if (state_ == BreakerState::open) {
       state_ = BreakerState::halfOpen;
     }
   }
   /// Records that the engine runs an attempt.
-  void succeeded() {
+  void recordSuccess() {
     state_ = BreakerState::closed;
     failures_ = 0;
   }
-  void failed(base::TimePoint now, std::uint32_t threshold, base::Duration openFor) {
+  void recordFailure(base::TimePoint now, std::uint32_t threshold, base::Duration openFor) {
     ++failures_;
     if (state_ == BreakerState::halfOpen || failures_ >= threshold) {
       state_ = BreakerState::open;
@@ -47,7 +47,7 @@
   }
   /// Records that an attempt ended without an indication of the engine's health, e.g. by the
   /// caller. If it was the trial, another trial may start.
-  void undecided(base::TimePoint now) {
+  void recordNoOutcome(base::TimePoint now) {
     if (state_ == BreakerState::halfOpen) {
       state_ = BreakerState::open;
       openUntil_ = now;
--- a/src/routing/demand_reporter.cpp
+++ b/src/routing/demand_reporter.cpp
@@ -184,7 +184,7 @@
   report.entries = report.complete ? allActive(now, targets, queue, view)
                                    : changedEntries(now, targets, queue, view);
   addFormerVersions(view, requests, report.complete, report.entries);
-  const bool news = !report.entries.empty() || report.complete || selector.sawFailures();
+  const bool news = !report.entries.empty() || report.complete || selector.hasFailures();
   if (!news && now < sentAt_ + kAliveInterval) {
     return;
   }
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -161,7 +161,7 @@
   ++request.attempts;
   request.machine.enter(RequestState::starting);
   request.machine.handedOver();
-  core_.selector.handedOver(attempt.engine, request.prefixHashes);
+  core_.selector.recordDispatch(attempt.engine, request.prefixHashes);
   engine::GenerateRequest generate;
   generate.request = request.caller.request;
   generate.attempt = attempt.id;
--- a/src/routing/engine_selector.cpp
+++ b/src/routing/engine_selector.cpp
@@ -16,14 +16,14 @@
 constexpr double kPrefixBonus = 4.0;
 /// Time for which an engine that did not have the replica is avoided: in this time the cell detects
 /// it and notifies the routers.
-constexpr base::Duration kLacksReplicaOpenFor = std::chrono::seconds(1);
+constexpr base::Duration kMissingReplicaOpenFor = std::chrono::seconds(1);
 /// Number of replicas from which the two random candidates are drawn. They are as good as two of
 /// all replicas, and the limit bounds the cost of a selection among the replicas of a hot model.
 constexpr std::size_t kSampleSize = 32;
 }  // namespace
 
 bool EngineSelector::isLeaving(const EngineState& state) {
-  return state.leaving.has_value() && *state.leaving == state.incarnation;
+  return state.leavingIncarnation.has_value() && *state.leavingIncarnation == state.incarnation;
 }
 
 bool EngineSelector::isLeaving(const base::EngineId& engine) const {
@@ -31,13 +31,13 @@
   return found != engines_.end() && isLeaving(found->second);
 }
 
-bool EngineSelector::hasPlace(const ReadyReplica& replica) const {
-  const auto found = places_.find(replica.id);
-  return found == places_.end() || found->second < options_.maxRunningPerReplica;
+bool EngineSelector::hasFreeSlot(const ReadyReplica& replica) const {
+  const auto found = takenSlots_.find(replica.id);
+  return found == takenSlots_.end() || found->second < options_.maxRunningPerReplica;
 }
 
 bool EngineSelector::selectable(base::TimePoint now, const ReadyReplica& replica) const {
-  if (!hasPlace(replica)) {
+  if (!hasFreeSlot(replica)) {
     return false;
   }
   const auto found = engines_.find(replica.engine);
@@ -61,7 +61,7 @@
   base::TimePoint earliest = base::kNever;
   for (const ReadyReplica& replica : replicas) {
     const auto found = engines_.find(replica.engine);
-    if (found == engines_.end() || !hasPlace(replica) || isLeaving(found->second)) {
+    if (found == engines_.end() || !hasFreeSlot(replica) || isLeaving(found->second)) {
       continue;
     }
     const EngineState& state = found->second;
@@ -81,7 +81,7 @@
   if (found != engines_.end()) {
     const EngineState& state = found->second;
     const double age = std::chrono::duration<double>(now - state.reportedAt).count();
-    load = state.running + state.othersLoad * std::exp2(-age / kLoadHalfLifeSeconds);
+    load = state.running + state.otherRoutersLoad * std::exp2(-age / kLoadHalfLifeSeconds);
   }
   if (hashes.empty()) {
     return load;
@@ -102,8 +102,9 @@
   return difference < 0 ? one : other;
 }
 
-void EngineSelector::consider(base::TimePoint now, const ReadyReplica& replica,
-                              const SelectionRequest& request, Candidates& candidates) const {
+void EngineSelector::addIfSelectable(base::TimePoint now, const ReadyReplica& replica,
+                                     const SelectionRequest& request,
+                                     Candidates& candidates) const {
   if (!selectable(now, replica)) {
     return;
   }
@@ -123,14 +124,14 @@
   if (replicas.size() > kSampleSize) {
     const std::size_t start = random_.uniform(0, replicas.size() - 1);
     for (std::size_t offset = 0; offset < kSampleSize; ++offset) {
-      consider(now, replicas[(start + offset) % replicas.size()], request, candidates);
+      addIfSelectable(now, replicas[(start + offset) % replicas.size()], request, candidates);
     }
     if (!candidates.preferred.empty()) {
       return candidates;
     }
   }
   for (const ReadyReplica& replica : replicas) {
-    consider(now, replica, request, candidates);
+    addIfSelectable(now, replica, request, candidates);
   }
   return candidates;
 }
@@ -154,37 +155,37 @@
   return better(now, *candidates[first], *candidates[second], request.prefixHashes);
 }
 
-void EngineSelector::placeTaken(const base::EngineId& engine, base::ReplicaId replica) {
+void EngineSelector::takeSlot(const base::EngineId& engine, base::ReplicaId replica) {
   ++engines_[engine].running;
-  ++places_[replica];
+  ++takenSlots_[replica];
 }
 
-void EngineSelector::placeFreed(const base::EngineId& engine, base::ReplicaId replica) {
+void EngineSelector::freeSlot(const base::EngineId& engine, base::ReplicaId replica) {
   EngineState& state = engines_[engine];
   if (state.running > 0) {
     --state.running;
   }
-  const auto found = places_.find(replica);
-  if (found != places_.end() && --found->second == 0) {
-    places_.erase(found);
+  const auto found = takenSlots_.find(replica);
+  if (found != takenSlots_.end() && --found->second == 0) {
+    takenSlots_.erase(found);
   }
 }
 
-void EngineSelector::handedOver(const base::EngineId& engine,
-                                const std::vector<std::uint64_t>& hashes) {
-  engines_[engine].breaker.attempted();
+void EngineSelector::recordDispatch(const base::EngineId& engine,
+                                    const std::vector<std::uint64_t>& hashes) {
+  engines_[engine].breaker.recordAttempt();
   if (!hashes.empty()) {
-    prefixes_.sent(engine, hashes);
+    prefixes_.recordPrompt(engine, hashes);
   }
 }
 
-void EngineSelector::succeeded(const base::EngineId& engine) {
-  engines_[engine].breaker.succeeded();
+void EngineSelector::recordSuccess(const base::EngineId& engine) {
+  engines_[engine].breaker.recordSuccess();
   ++outcomes_[engine].answered;
 }
 
 std::vector<protocol::EngineOutcomes> EngineSelector::takeOutcomes() {
-  sawFailures_ = false;
+  hasFailures_ = false;
   std::vector<protocol::EngineOutcomes> taken;
   for (auto& [engine, outcomes] : std::exchange(outcomes_, {})) {
     outcomes.engine = engine;
@@ -193,23 +194,23 @@
   return taken;
 }
 
-base::Duration EngineSelector::drawnAround(base::Duration mean) {
+base::Duration EngineSelector::withJitter(base::Duration mean) {
   return random_.between(mean / 2, mean + mean / 2);
 }
 
-void EngineSelector::failed(base::TimePoint now, const base::EngineId& engine) {
-  engines_[engine].breaker.failed(now, options_.breakerFailures,
-                                  drawnAround(options_.breakerOpenFor));
+void EngineSelector::recordFailure(base::TimePoint now, const base::EngineId& engine) {
+  engines_[engine].breaker.recordFailure(now, options_.breakerFailures,
+                                         withJitter(options_.breakerOpenFor));
   ++outcomes_[engine].failed;
-  sawFailures_ = true;
+  hasFailures_ = true;
 }
 
-void EngineSelector::lacksReplica(base::TimePoint now, const base::EngineId& engine) {
-  engines_[engine].breaker.failed(now, 1, drawnAround(kLacksReplicaOpenFor));
+void EngineSelector::recordMissingReplica(base::TimePoint now, const base::EngineId& engine) {
+  engines_[engine].breaker.recordFailure(now, 1, withJitter(kMissingReplicaOpenFor));
 }
 
-void EngineSelector::undecided(base::TimePoint now, const base::EngineId& engine) {
-  engines_[engine].breaker.undecided(now);
+void EngineSelector::recordNoOutcome(base::TimePoint now, const base::EngineId& engine) {
+  engines_[engine].breaker.recordNoOutcome(now);
 }
 
 void EngineSelector::avoidUntil(const base::EngineId& engine, base::TimePoint until) {
@@ -217,15 +218,15 @@
   state.avoidUntil = std::max(state.avoidUntil, until);
 }
 
-void EngineSelector::leaving(const base::EngineId& engine, base::Incarnation incarnation) {
-  engines_[engine].leaving = incarnation;
+void EngineSelector::markLeaving(const base::EngineId& engine, base::Incarnation incarnation) {
+  engines_[engine].leavingIncarnation = incarnation;
 }
 
-void EngineSelector::loadReported(base::TimePoint now, const base::EngineId& engine,
-                                  const engine::Load& load) {
+void EngineSelector::recordLoad(base::TimePoint now, const base::EngineId& engine,
+                                const engine::Load& load) {
   EngineState& state = engines_[engine];
   const double total = static_cast<double>(load.runningRequests) + load.queuedRequests;
-  state.othersLoad = std::max(0.0, total - state.running);
+  state.otherRoutersLoad = std::max(0.0, total - state.running);
   state.reportedAt = now;
 }
 
@@ -240,22 +241,22 @@
   EngineState& state = found->second;
   if (known != nullptr && known->incarnation == state.incarnation) {
     const bool leavingInView = known->status == resource::EngineStatus::leaving;
-    if (state.seenLeavingInView && !leavingInView) {
-      state.leaving.reset();
+    if (state.wasLeavingInView && !leavingInView) {
+      state.leavingIncarnation.reset();
     }
-    state.seenLeavingInView = leavingInView;
+    state.wasLeavingInView = leavingInView;
     return;
   }
-  prefixes_.forget(id);
+  prefixes_.eraseEngine(id);
   if (known == nullptr && state.running == 0) {
     engines_.erase(found);
     return;
   }
   // A new incarnation of the engine: only the count of running requests is kept.
-  EngineState fresh;
-  fresh.running = state.running;
-  fresh.incarnation = known == nullptr ? base::Incarnation{} : known->incarnation;
-  state = fresh;
+  EngineState newState;
+  newState.running = state.running;
+  newState.incarnation = known == nullptr ? base::Incarnation{} : known->incarnation;
+  state = newState;
 }
 
 }  // namespace walnut::routing
--- a/src/routing/engine_selector.h
+++ b/src/routing/engine_selector.h
@@ -43,31 +43,32 @@
   base::TimePoint retryAt(base::TimePoint now, const std::vector<ReadyReplica>& replicas) const;
 
   /// Records that a slot was taken, or freed, at a replica.
-  void placeTaken(const base::EngineId& engine, base::ReplicaId replica);
-  void placeFreed(const base::EngineId& engine, base::ReplicaId replica);
+  void takeSlot(const base::EngineId& engine, base::ReplicaId replica);
+  void freeSlot(const base::EngineId& engine, base::ReplicaId replica);
 
-  void handedOver(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes);
+  void recordDispatch(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes);
   /// Records that the engine has started to answer an attempt.
-  void succeeded(const base::EngineId& engine);
-  void failed(base::TimePoint now, const base::EngineId& engine);
+  void recordSuccess(const base::EngineId& engine);
+  void recordFailure(base::TimePoint now, const base::EngineId& engine);
   /// @return whether an engine has failed since the last call of `takeOutcomes`.
-  bool sawFailures() const { return sawFailures_; }
+  bool hasFailures() const { return hasFailures_; }
   /// @return the outcomes of attempts since the previous call.
   std::vector<protocol::EngineOutcomes> takeOutcomes();
   /// Records that the engine answered that it does not have the replica. Opens its circuit breaker
   /// at once, so that one request at a time, rather than all waiting ones, checks whether the
   /// cell's record was right after all.
-  void lacksReplica(base::TimePoint now, const base::EngineId& engine);
-  void undecided(base::TimePoint now, const base::EngineId& engine);
+  void recordMissingReplica(base::TimePoint now, const base::EngineId& engine);
+  void recordNoOutcome(base::TimePoint now, const base::EngineId& engine);
   /// Avoids an engine that refused an attempt in a way that says nothing about its health.
   void avoidUntil(const base::EngineId& engine, base::TimePoint until);
   /// Records that the engine itself reported that it is leaving. This holds for the incarnation, or
   /// until the cell has listed the engine as leaving and then as live again.
-  void leaving(const base::EngineId& engine, base::Incarnation incarnation);
+  void markLeaving(const base::EngineId& engine, base::Incarnation incarnation);
   /// @return whether the engine's current incarnation reported that it takes no new work.
   bool isLeaving(const base::EngineId& engine) const;
-  void loadReported(base::TimePoint now, const base::EngineId& engine, const engine::Load& load);
-  void cacheEvents(const base::EngineId& engine, const std::vector<engine::CacheEvent>& events) {
+  void recordLoad(base::TimePoint now, const base::EngineId& engine, const engine::Load& load);
+  void applyCacheEvents(const base::EngineId& engine,
+                        const std::vector<engine::CacheEvent>& events) {
     prefixes_.apply(engine, events);
   }
   /// @param known the engine as in the view; nullptr if the view no longer has it.
@@ -76,13 +77,13 @@
  private:
   struct EngineState {
     CircuitBreaker breaker;
-    std::uint32_t running = 0;  ///< Requests from this router.
-    double othersLoad = 0;      ///< Load from other routers as of the last report.
+    std::uint32_t running = 0;    ///< Requests from this router.
+    double otherRoutersLoad = 0;  ///< Load from other routers as of the last report.
     base::TimePoint reportedAt;
     base::TimePoint avoidUntil;
     base::Incarnation incarnation;
-    std::optional<base::Incarnation> leaving;
-    bool seenLeavingInView = false;
+    std::optional<base::Incarnation> leavingIncarnation;
+    bool wasLeavingInView = false;
   };
 
   /// Replicas that may be chosen, and the avoided one if it may be chosen as well.
@@ -91,11 +92,11 @@
     const ReadyReplica* avoided = nullptr;
   };
 
-  void consider(base::TimePoint now, const ReadyReplica& replica, const SelectionRequest& request,
-                Candidates& candidates) const;
+  void addIfSelectable(base::TimePoint now, const ReadyReplica& replica,
+                       const SelectionRequest& request, Candidates& candidates) const;
   Candidates sample(base::TimePoint now, const std::vector<ReadyReplica>& replicas,
                     const SelectionRequest& request);
-  bool hasPlace(const ReadyReplica& replica) const;
+  bool hasFreeSlot(const ReadyReplica& replica) const;
   double score(base::TimePoint now, const ReadyReplica& replica,
                const std::vector<std::uint64_t>& hashes) const;
   const ReadyReplica& better(base::TimePoint now, const ReadyReplica& one,
@@ -104,17 +105,17 @@
   static bool isLeaving(const EngineState& state);
   /// @return a random duration between one half and one and a half of the mean. The jitter keeps
   /// routers that saw an engine fail at the same time from all retrying it at the same time.
-  base::Duration drawnAround(base::Duration mean);
+  base::Duration withJitter(base::Duration mean);
 
   const RouterOptions& options_;
   base::Random& random_;
   std::map<base::EngineId, EngineState> engines_;
   /// Slots taken by this router; never zero.
-  std::map<base::ReplicaId, std::uint32_t> places_;
+  std::map<base::ReplicaId, std::uint32_t> takenSlots_;
   PrefixIndex prefixes_;
   /// Outcomes not yet returned by takeOutcomes.
   std::map<base::EngineId, protocol::EngineOutcomes> outcomes_;
-  bool sawFailures_ = false;
+  bool hasFailures_ = false;
 };
 
 }  // namespace walnut::routing
--- a/src/routing/prefix_index.cpp
+++ b/src/routing/prefix_index.cpp
@@ -28,32 +28,32 @@
   return hashes;
 }
 
-void PrefixIndex::insert(Known& known, std::uint64_t hash) {
+void PrefixIndex::insert(EnginePrefixes& known, std::uint64_t hash) {
   erase(known, hash);
-  byUse_.push_front(Block{&known, hash});
-  known.hashes[hash] = byUse_.begin();
-  if (byUse_.size() > kMaxPrefixHashes) {
-    const Block oldest = byUse_.back();
+  lruBlocks_.push_front(Block{&known, hash});
+  known.hashes[hash] = lruBlocks_.begin();
+  if (lruBlocks_.size() > kMaxPrefixHashes) {
+    const Block oldest = lruBlocks_.back();
     erase(*oldest.holder, oldest.hash);
   }
 }
 
-void PrefixIndex::erase(Known& known, std::uint64_t hash) {
+void PrefixIndex::erase(EnginePrefixes& known, std::uint64_t hash) {
   const auto found = known.hashes.find(hash);
   if (found != known.hashes.end()) {
-    byUse_.erase(found->second);
+    lruBlocks_.erase(found->second);
     known.hashes.erase(found);
   }
 }
 
-void PrefixIndex::clear(Known& known) {
+void PrefixIndex::clear(EnginePrefixes& known) {
   for (const auto& [hash, block] : known.hashes) {
-    byUse_.erase(block);
+    lruBlocks_.erase(block);
   }
   known.hashes.clear();
 }
 
-void PrefixIndex::forget(const base::EngineId& engine) {
+void PrefixIndex::eraseEngine(const base::EngineId& engine) {
   const auto found = engines_.find(engine);
   if (found != engines_.end()) {
     clear(found->second);
@@ -61,8 +61,9 @@
   }
 }
 
-void PrefixIndex::sent(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes) {
-  Known& known = engines_[engine];
+void PrefixIndex::recordPrompt(const base::EngineId& engine,
+                               const std::vector<std::uint64_t>& hashes) {
+  EnginePrefixes& known = engines_[engine];
   // Inserts the last block first: a prefix is useful only with all preceding blocks, so those are
   // evicted later.
   for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash) {
@@ -72,7 +73,7 @@
 
 void PrefixIndex::apply(const base::EngineId& engine,
                         const std::vector<engine::CacheEvent>& events) {
-  Known& known = engines_[engine];
+  EnginePrefixes& known = engines_[engine];
   for (const engine::CacheEvent& event : events) {
     if (event.sequence <= known.lastSequence) {
       continue;
@@ -95,7 +96,7 @@
   if (found == engines_.end()) {
     return 0;
   }
-  const Known& known = found->second;
+  const EnginePrefixes& known = found->second;
   const auto unknown = std::find_if(hashes.begin(), hashes.end(), [&known](std::uint64_t hash) {
     return !known.hashes.contains(hash);
   });
--- a/src/routing/prefix_index.h
+++ b/src/routing/prefix_index.h
@@ -35,37 +35,37 @@
 class PrefixIndex {
  public:
   /// Records that this router sent a prompt to the engine, which will therefore hold its prefixes.
-  void sent(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes);
+  void recordPrompt(const base::EngineId& engine, const std::vector<std::uint64_t>& hashes);
   /// Applies cache events of an engine. Events that are not newer than the last one are ignored.
   /// After a gap in the sequence the engine's entries are dropped, because any of them may have
   /// been evicted.
   void apply(const base::EngineId& engine, const std::vector<engine::CacheEvent>& events);
   /// Drops the entries of an engine that is gone or has a new incarnation.
-  void forget(const base::EngineId& engine);
+  void eraseEngine(const base::EngineId& engine);
   /// @return the number of leading blocks that the engine is thought to hold.
   std::size_t matchingBlocks(const base::EngineId& engine,
                              const std::vector<std::uint64_t>& hashes) const;
   /// @return the number of stored hashes.
-  std::size_t size() const { return byUse_.size(); }
+  std::size_t size() const { return lruBlocks_.size(); }
 
  private:
-  struct Known;
+  struct EnginePrefixes;
   /// Hash that an engine is thought to hold. `holder` stays valid, since maps don't move their
   /// values.
   struct Block {
-    Known* holder = nullptr;
+    EnginePrefixes* holder = nullptr;
     std::uint64_t hash = 0;
   };
-  struct Known {
+  struct EnginePrefixes {
     std::uint64_t lastSequence = 0;
     std::unordered_map<std::uint64_t, std::list<Block>::iterator> hashes;
   };
-  void insert(Known& known, std::uint64_t hash);
-  void erase(Known& known, std::uint64_t hash);
-  void clear(Known& known);
+  void insert(EnginePrefixes& known, std::uint64_t hash);
+  void erase(EnginePrefixes& known, std::uint64_t hash);
+  void clear(EnginePrefixes& known);
 
-  std::list<Block> byUse_;  ///< Blocks of all engines, most recently used first.
-  std::map<base::EngineId, Known> engines_;
+  std::list<Block> lruBlocks_;  ///< Blocks of all engines, most recently used first.
+  std::map<base::EngineId, EnginePrefixes> engines_;
 };
 
 }  // namespace walnut::routing
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -21,7 +21,7 @@
                             const resource::Servable& servable) {
   request.attempt =
       Attempt{{}, replica.engine, replica.endpoint, replica.id, servable, core_.now, core_.now, {}};
-  core_.selector.placeTaken(replica.engine, replica.id);
+  core_.selector.takeSlot(replica.engine, replica.id);
   core_.requests.attach(request, replica.engine);
   ++core_.targets[request.caller.target].running;
   core_.demand.changed(request.caller.target);
@@ -39,9 +39,9 @@
   }
   if (handedOver) {
     // A circuit breaker trial that ended by its deadline or its caller has no outcome; it is over.
-    core_.selector.undecided(core_.now, attempt.engine);
+    core_.selector.recordNoOutcome(core_.now, attempt.engine);
   }
-  core_.selector.placeFreed(attempt.engine, attempt.replica);
+  core_.selector.freeSlot(attempt.engine, attempt.replica);
   core_.requests.detach(request, attempt.engine);
   --core_.targets[request.caller.target].running;
   core_.demand.changed(request.caller.target);
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -84,7 +84,7 @@
 void RouterImpl::handle(const StateKept& input) { parker_.kept(input); }
 
 void RouterImpl::handle(const CacheEventsRead& input) {
-  core_.selector.cacheEvents(input.engine, input.events);
+  core_.selector.applyCacheEvents(input.engine, input.events);
 }
 
 void RouterImpl::handle(const ControllerConnected& input) {
--- a/src/routing/state_parker.cpp
+++ b/src/routing/state_parker.cpp
@@ -190,7 +190,7 @@
 void StateParker::refused(Request& request, const base::Error& error) {
   Move& move = *request.move;
   if (error.code == ErrorCode::engineLeaving) {
-    core_.selector.leaving(move.asked->engine, move.asked->incarnation);
+    core_.selector.markLeaving(move.asked->engine, move.asked->incarnation);
   }
   move.refusedBy.insert(move.asked->engine);
   move.asked.reset();
--- a/test/routing/demand_reporter_test.cpp
+++ b/test/routing/demand_reporter_test.cpp
@@ -106,13 +106,13 @@
 TEST(DemandReporter, whatBecameOfAttemptsIsToldOnceAndFailuresSoon) {
   Fixture fixture;
   fixture.entriesWithin(5);
-  fixture.selector().succeeded({"e1"});
-  fixture.selector().failed(fixture.now(), {"e2"});
+  fixture.selector().recordSuccess({"e1"});
+  fixture.selector().recordFailure(fixture.now(), {"e2"});
   const auto report = fixture.run();
   CHECK_EQUAL(2U, report.value().outcomes.size());
   CHECK_EQUAL(1U, report.value().outcomes[0].answered);
   CHECK_EQUAL(1U, report.value().outcomes[1].failed);
-  fixture.selector().succeeded({"e1"});
+  fixture.selector().recordSuccess({"e1"});
   CHECK_FALSE(fixture.run().has_value());
 }
 
--- a/test/routing/prefix_index_test.cpp
+++ b/test/routing/prefix_index_test.cpp
@@ -20,7 +20,7 @@
   constexpr std::uint64_t kBlocksOfEngine = 4000;
   for (std::uint64_t engine = 0; engine < kEngines; ++engine) {
     for (std::uint64_t block = 0; block < kBlocksOfEngine; ++block) {
-      index.sent(engineNumber(engine), {block});
+      index.recordPrompt(engineNumber(engine), {block});
     }
   }
   CHECK_EQUAL(kMaxPrefixHashes, index.size());
@@ -29,16 +29,16 @@
 }
 
 TEST(PrefixIndexTest, forgettingAnEngineFreesItsBlocksAlone) {
-  index.sent(engineNumber(1), {1, 2, 3});
-  index.sent(engineNumber(2), {1, 2});
-  index.forget(engineNumber(1));
+  index.recordPrompt(engineNumber(1), {1, 2, 3});
+  index.recordPrompt(engineNumber(2), {1, 2});
+  index.eraseEngine(engineNumber(1));
   CHECK_EQUAL(2U, index.size());
   CHECK_EQUAL(0U, index.matchingBlocks(engineNumber(1), {1}));
   CHECK_EQUAL(2U, index.matchingBlocks(engineNumber(2), {1, 2, 3}));
 }
 
 TEST(PrefixIndexTest, evictionsAndGapsOfEventsForget) {
-  index.sent(engineNumber(1), {1, 2});
+  index.recordPrompt(engineNumber(1), {1, 2});
   index.apply(engineNumber(1), {{1, {}, 2, true}});
   CHECK_EQUAL(1U, index.matchingBlocks(engineNumber(1), {1, 2}));
   index.apply(engineNumber(1), {{5, {}, 9, false}});
