--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -9,16 +9,16 @@
 namespace {
 /// Retry delay for callers of a router that is shutting down or cannot confirm its configuration:
 /// another router may be available, and a cell elects a leader within one or two seconds.
-constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
+constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
 constexpr base::Duration kMinRetryAfter = std::chrono::milliseconds(100);
 /// Maximum lead of a caller's clock; the cell allows the same (claimClockSkew).
 constexpr base::Duration kMaxClockSkew = std::chrono::seconds(30);
 
-Refusal final(ErrorCode code, const char* field, const char* detail) {
+Refusal permanentRefusal(ErrorCode code, const char* field, const char* detail) {
   return {{code, field, detail}, false, base::Duration(0)};
 }
 
-Refusal later(ErrorCode code, const char* detail, base::Duration retryAfter) {
+Refusal retryableRefusal(ErrorCode code, const char* detail, base::Duration retryAfter) {
   return {{code, "", detail}, true, std::max(retryAfter, kMinRetryAfter)};
 }
 }  // namespace
@@ -30,32 +30,33 @@
 
 std::optional<Refusal> Admission::checkFields(const CallerRequest& caller) const {
   if (caller.deadline.has_value() && *caller.deadline - core_.now > core_.options.maxDeadline) {
-    return final(ErrorCode::outOfRange, "deadline", "later than this router accepts");
+    return permanentRefusal(ErrorCode::outOfRange, "deadline", "later than this router accepts");
   }
   if (caller.repeatable) {
     return std::nullopt;
   }
   if (caller.idempotencyKey.empty()) {
-    return final(ErrorCode::missingField, "idempotency_key",
-                 "required for a request that may not be repeated");
+    return permanentRefusal(ErrorCode::missingField, "idempotency_key",
+                            "required for a request that may not be repeated");
   }
   if (!caller.issuedAt.has_value()) {
-    return final(ErrorCode::missingField, "issued_at",
-                 "required for a request that may not be repeated");
+    return permanentRefusal(ErrorCode::missingField, "issued_at",
+                            "required for a request that may not be repeated");
   }
   if (*caller.issuedAt - core_.now > kMaxClockSkew) {
-    return final(ErrorCode::outOfRange, "issued_at", "in the future");
+    return permanentRefusal(ErrorCode::outOfRange, "issued_at", "in the future");
   }
   if (core_.now - *caller.issuedAt > core_.options.claimWindow) {
-    return final(ErrorCode::claimExpired, "issued_at", "before the claim window");
+    return permanentRefusal(ErrorCode::claimExpired, "issued_at", "before the claim window");
   }
   return std::nullopt;
 }
 
 std::optional<Refusal> Admission::checkRouter() const {
   if (!core_.mayServe()) {
-    return later(ErrorCode::configurationUnconfirmed,
-                 "no majority of controllers confirms this router's configuration", kComeBackSoon);
+    return retryableRefusal(ErrorCode::configurationUnconfirmed,
+                            "no majority of controllers confirms this router's configuration",
+                            kRetryAfter);
   }
   return std::nullopt;
 }
@@ -66,26 +67,26 @@
 
 base::Duration Admission::waitEstimate(const std::string& target, engine::Priority priority) const {
   const TargetQueue& queue = core_.queue.target(target);
-  QueueSituation situation;
-  situation.ahead = queue.size();
+  QueueLoad queueLoad;
+  queueLoad.requestsAhead = queue.size();
   if (priority == engine::Priority::interactive) {
-    situation.ahead -= queue.count(QueueRank::batch);
+    queueLoad.requestsAhead -= queue.count(QueueRank::batch);
   }
   const std::optional<resource::Servable> servable = core_.view.resolve(target);
   if (servable.has_value()) {
-    situation.readyReplicas = core_.view.readyReplicas(*servable).size();
+    queueLoad.readyReplicas = core_.view.readyReplicas(*servable).size();
   }
   static const Target kUnknown;
   const auto found = core_.targets.find(target);
   const Target& observed = found == core_.targets.end() ? kUnknown : found->second;
-  return estimateWait(observed, situation, core_.now, core_.options);
+  return estimateWait(observed, queueLoad, core_.now, core_.options);
 }
 
 std::optional<Refusal> Admission::checkDeadline(const CallerRequest& caller,
                                                 base::TimePoint deadline) {
   if (deadline <= core_.now) {
-    return later(ErrorCode::deadlineExceeded, "the deadline passed before the request arrived",
-                 kMinRetryAfter);
+    return retryableRefusal(ErrorCode::deadlineExceeded,
+                            "the deadline passed before the request arrived", kMinRetryAfter);
   }
   Target& observed = core_.targets[caller.target];
   if (core_.queue.target(caller.target).size() == 0 && core_.now >= observed.refusedDemandUntil) {
@@ -104,14 +105,15 @@
     core_.demand.changed(caller.target);
     core_.demand.urgent(core_.now);
   }
-  return later(ErrorCode::deadlineUnreachable, "the estimated wait ends after the deadline", wait);
+  return retryableRefusal(ErrorCode::deadlineUnreachable,
+                          "the estimated wait ends after the deadline", wait);
 }
 
-std::optional<Refusal> Admission::checkPlace(const CallerRequest& caller) {
+std::optional<Refusal> Admission::checkQueueSpace(const CallerRequest& caller) {
   const TargetQueue& queue = core_.queue.target(caller.target);
-  const std::size_t fresh = queue.size() - queue.count(QueueRank::resumed);
-  const bool targetFull = fresh >= core_.options.maxQueuedPerTarget;
-  if (!targetFull && core_.queue.fresh() < core_.options.maxQueued) {
+  const std::size_t newRequests = queue.size() - queue.count(QueueRank::resumed);
+  const bool targetFull = newRequests >= core_.options.maxQueuedPerTarget;
+  if (!targetFull && core_.queue.newRequestCount() < core_.options.maxQueued) {
     return std::nullopt;
   }
   Request* displaced = nullptr;
@@ -119,12 +121,13 @@
     displaced = targetFull ? core_.queue.latestBatch(caller.target) : core_.queue.latestBatch();
   }
   if (displaced == nullptr) {
-    return later(ErrorCode::queueFull, "the queue is full",
-                 waitEstimate(caller.target, caller.priority));
+    return retryableRefusal(ErrorCode::queueFull, "the queue is full",
+                            waitEstimate(caller.target, caller.priority));
   }
-  lifecycle_.refuse(*displaced,
-                    later(ErrorCode::queueFull, "displaced by an interactive request",
-                          waitEstimate(displaced->caller.target, engine::Priority::batch)));
+  lifecycle_.refuse(
+      *displaced,
+      retryableRefusal(ErrorCode::queueFull, "displaced by an interactive request",
+                       waitEstimate(displaced->caller.target, engine::Priority::batch)));
   return std::nullopt;
 }
 
@@ -133,7 +136,7 @@
     return;
   }
   if (core_.stopping) {
-    refuse(caller, later(ErrorCode::stopping, "this router stops", kComeBackSoon));
+    refuse(caller, retryableRefusal(ErrorCode::stopping, "this router stops", kRetryAfter));
     return;
   }
   std::optional<Refusal> refusal = checkFields(caller);
@@ -142,7 +145,8 @@
   }
   const std::optional<resource::Servable> servable = core_.view.resolve(caller.target);
   if (!refusal.has_value() && !servable.has_value()) {
-    refusal = final(ErrorCode::unknownModel, "model", "no such model or adapter is served");
+    refusal =
+        permanentRefusal(ErrorCode::unknownModel, "model", "no such model or adapter is served");
   }
   if (refusal.has_value()) {
     refuse(caller, *refusal);
@@ -153,7 +157,7 @@
   const base::TimePoint deadline = deadlineOf(caller);
   refusal = checkDeadline(caller, deadline);
   if (!refusal.has_value()) {
-    refusal = checkPlace(caller);
+    refusal = checkQueueSpace(caller);
   }
   if (refusal.has_value()) {
     refuse(caller, *refusal);
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -26,7 +26,7 @@
   std::optional<Refusal> checkRouter() const;
   std::optional<Refusal> checkDeadline(const CallerRequest& caller, base::TimePoint deadline);
   /// Displaces a batch request if that frees a queue entry for an interactive one.
-  std::optional<Refusal> checkPlace(const CallerRequest& caller);
+  std::optional<Refusal> checkQueueSpace(const CallerRequest& caller);
   base::TimePoint deadlineOf(const CallerRequest& caller) const;
   void refuse(const CallerRequest& caller, const Refusal& refusal);
 
--- a/src/routing/attempt_handler.cpp
+++ b/src/routing/attempt_handler.cpp
@@ -10,7 +10,7 @@
 namespace {
 /// A time-out that fires later than this shows that the process was frozen.
 constexpr base::Duration kFreezeThreshold = std::chrono::seconds(1);
-constexpr base::Duration kThawGrace = std::chrono::seconds(1);
+constexpr base::Duration kPostFreezeGrace = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxBackoffDoublings = 16;
 /// Maximum time for which a retry waits for the budget. After two windows, the retries that
 /// exhausted the budget no longer count.
@@ -34,7 +34,7 @@
 
 /// @return whether no replica was there to attempt the request: its engine is gone, is leaving, or
 /// has lost the replica, and the cell has yet to detect it.
-bool metNoReplica(ErrorCode code) {
+bool isReplicaMissing(ErrorCode code) {
   return code == ErrorCode::connectFailed || code == ErrorCode::engineLeaving ||
          code == ErrorCode::modelNotLoaded;
 }
@@ -48,7 +48,7 @@
   return current && attempt != base::AttemptId{} ? found : nullptr;
 }
 
-void AttemptHandler::event(const engine::GenerateEvent& event) {
+void AttemptHandler::handleEvent(const engine::GenerateEvent& event) {
   std::visit(
       [this](const auto& body) {
         Request* request = find(body.request, body.attempt);
@@ -60,7 +60,7 @@
 }
 
 void AttemptHandler::enterStreaming(Request& request) {
-  request.machine.started();
+  request.machine.markStarted();
   if (request.machine.state() != RequestState::starting) {
     return;
   }
@@ -78,27 +78,27 @@
   core_.selector.recordLoad(core_.now, request.attempt->engine, event.load);
   enterStreaming(request);
   if (request.machine.state() == RequestState::streaming) {
-    request.extended = false;
+    request.timeoutExtended = false;
     lifecycle_.setPhaseDeadline(request, core_.now + core_.options.tokenTimeout);
   }
 }
 
 void AttemptHandler::handle(Request& request, const engine::GenerateToken& event) {
   enterStreaming(request);
-  switch (request.machine.judgeToken(event.offset)) {
-    case TokenVerdict::duplicate:
+  switch (request.machine.checkToken(event.offset)) {
+    case TokenCheck::duplicate:
       return;
-    case TokenVerdict::gap:
+    case TokenCheck::gap:
       fail(request,
            {{ErrorCode::streamBroken, "", "a token is missing"}, true, AttemptEnd::cancelled});
       return;
-    case TokenVerdict::deliver:
+    case TokenCheck::deliver:
       break;
   }
   Attempt& attempt = *request.attempt;
   Target& target = core_.targets[request.caller.target];
   const base::Duration sinceLast = core_.now - attempt.lastTokenAt;
-  if (attempt.lastTokenAt == attempt.handedOverAt) {
+  if (attempt.lastTokenAt == attempt.dispatchedAt) {
     target.startLatency.observe(sinceLast);
   } else {
     target.tokenInterval.observe(sinceLast);
@@ -109,11 +109,11 @@
   request.pinned = attempt.servable;
   core_.actions.emplace_back(CallerToken{request.caller.request, event.offset, event.text});
   if (request.machine.state() == RequestState::streaming) {
-    request.extended = false;
+    request.timeoutExtended = false;
     lifecycle_.setPhaseDeadline(request, core_.now + core_.options.tokenTimeout);
     return;
   }
-  if (request.move->offset == request.machine.delivered()) {
+  if (request.move->offset == request.machine.deliveredCount()) {
     detach(request);
   }
 }
@@ -121,12 +121,12 @@
 void AttemptHandler::handle(Request& request, const engine::GenerateEnded& event) {
   core_.selector.recordLoad(core_.now, request.attempt->engine, event.load);
   enterStreaming(request);
-  if (event.tokenCount != request.machine.delivered()) {
+  if (event.tokenCount != request.machine.deliveredCount()) {
     fail(request, {{ErrorCode::streamBroken, "", "the engine's count of tokens differs"}, true});
     return;
   }
   Target& target = core_.targets[request.caller.target];
-  target.serviceTime.observe(core_.now - request.attempt->handedOverAt);
+  target.serviceTime.observe(core_.now - request.attempt->dispatchedAt);
   lifecycle_.end(request, event.reason);
 }
 
@@ -137,15 +137,15 @@
     return;
   }
   if (event.started == GenerateFailed::Started::yes) {
-    request.machine.started();
+    request.machine.markStarted();
   } else if (event.started == GenerateFailed::Started::no ||
              event.error.code == ErrorCode::connectFailed) {
-    request.machine.notStarted();
+    request.machine.markNotStarted();
   }
   fail(request, {event.error, isEngineFault(event.error.code)});
 }
 
-void AttemptHandler::noteRefusal(const base::EngineId& engine, ErrorCode code) {
+void AttemptHandler::recordRefusal(const base::EngineId& engine, ErrorCode code) {
   if (code == ErrorCode::engineLeaving) {
     const resource::Engine* known = core_.view.engine(engine);
     core_.selector.markLeaving(engine, known == nullptr ? base::Incarnation{} : known->incarnation);
@@ -158,8 +158,8 @@
   }
 }
 
-bool AttemptHandler::mayRunAgain(const Request& request) const {
-  if (RequestLifecycle::mayBeSentAgain(request)) {
+bool AttemptHandler::canRunAgain(const Request& request) const {
+  if (RequestLifecycle::canBeResent(request)) {
     return true;
   }
   // An exported run that the other engine did not resume is still the same run.
@@ -168,18 +168,18 @@
 
 void AttemptHandler::fail(Request& request, const AttemptFailure& failure) {
   const base::EngineId engine = request.attempt->engine;
-  noteRefusal(engine, failure.error.code);
+  recordRefusal(engine, failure.error.code);
   if (failure.engineFault) {
     core_.selector.recordFailure(core_.now, engine);
   }
   request.failedEngine = engine;
-  lifecycle_.release(request, failure.end);
+  lifecycle_.releaseAttempt(request, failure.end);
   if (request.caller.repeatable || request.machine.attemptMayHaveRun()) {
     lifecycle_.dropMove(request);  // A repeatable request is recomputed rather than imported again.
   }
-  const bool counted = !metNoReplica(failure.error.code) || request.machine.attemptMayHaveRun();
+  const bool counted = !isReplicaMissing(failure.error.code) || request.machine.attemptMayHaveRun();
   request.failedAttempts += counted ? 1 : 0;
-  if (!mayRunAgain(request) || request.failedAttempts >= core_.options.maxAttempts) {
+  if (!canRunAgain(request) || request.failedAttempts >= core_.options.maxAttempts) {
     giveUp(request, failure.error);
   } else if (!counted) {
     backOff(request, 0);
@@ -205,14 +205,15 @@
     request.pendingRetry.reset();
     request.machine.enter(RequestState::queued);
     lifecycle_.enqueue(request);
-  } else if (core_.now >= pending.giveUpAt) {
+  } else if (core_.now >= pending.retryUntil) {
     giveUp(request, pending.failure);
   } else {
-    lifecycle_.setPhaseDeadline(request, core_.now + drawnBackoff(core_.options.retryBackoffMax));
+    lifecycle_.setPhaseDeadline(request,
+                                core_.now + backoffWithJitter(core_.options.retryBackoffMax));
   }
 }
 
-base::Duration AttemptHandler::drawnBackoff(base::Duration ceiling) {
+base::Duration AttemptHandler::backoffWithJitter(base::Duration ceiling) {
   return core_.random.between(ceiling / 2, ceiling);
 }
 
@@ -221,32 +222,32 @@
       std::min(core_.options.retryBackoffMax,
                core_.options.retryBackoffMin * (1U << std::min(doublings, kMaxBackoffDoublings)));
   request.machine.enter(RequestState::backingOff);
-  lifecycle_.setPhaseDeadline(request, core_.now + drawnBackoff(ceiling));
+  lifecycle_.setPhaseDeadline(request, core_.now + backoffWithJitter(ceiling));
 }
 
 void AttemptHandler::giveUp(Request& request, const base::Error& error) {
   ErrorCode code = ErrorCode::engineFailed;
-  if (request.machine.delivered() > 0) {
+  if (request.machine.deliveredCount() > 0) {
     code = ErrorCode::streamBroken;
   } else if (error.code == ErrorCode::engineOverloaded) {
     code = ErrorCode::noCapacity;
   }
-  const bool retryable = RequestLifecycle::mayBeSentAgain(request);
+  const bool retryable = RequestLifecycle::canBeResent(request);
   const base::Duration retryAfter = retryable ? core_.options.retryBackoffMax : base::Duration(0);
   const std::string detail = std::string(base::errorCodeName(error.code)) + ": " + error.detail;
   lifecycle_.refuse(request, {{code, error.field, detail}, retryable, retryAfter});
 }
 
 bool AttemptHandler::extendAfterFreeze(Request& request) {
-  if (request.extended || core_.now - request.phaseDeadline < kFreezeThreshold) {
+  if (request.timeoutExtended || core_.now - request.phaseDeadline < kFreezeThreshold) {
     return false;
   }
-  request.extended = true;
-  lifecycle_.setPhaseDeadline(request, core_.now + kThawGrace);
+  request.timeoutExtended = true;
+  lifecycle_.setPhaseDeadline(request, core_.now + kPostFreezeGrace);
   return true;
 }
 
-void AttemptHandler::phaseOver(Request& request) {
+void AttemptHandler::handlePhaseTimeout(Request& request) {
   if (request.machine.state() == RequestState::backingOff) {
     if (request.pendingRetry.has_value()) {
       retryPending(request);
@@ -267,14 +268,14 @@
 void AttemptHandler::detach(Request& request) {
   request.move->detached = true;
   request.failedEngine = request.attempt->engine;
-  lifecycle_.release(request, AttemptEnd::byEngine);
+  lifecycle_.releaseAttempt(request, AttemptEnd::byEngine);
   request.machine.enter(RequestState::queued);
   lifecycle_.enqueue(request);
 }
 
 void AttemptHandler::recompute(Request& request) {
   request.failedEngine = request.attempt->engine;
-  lifecycle_.release(request, AttemptEnd::cancelled);
+  lifecycle_.releaseAttempt(request, AttemptEnd::cancelled);
   lifecycle_.dropMove(request);
   request.machine.enter(RequestState::backingOff);
   lifecycle_.setPhaseDeadline(request, core_.now);
--- a/src/routing/attempt_handler.h
+++ b/src/routing/attempt_handler.h
@@ -27,9 +27,9 @@
   AttemptHandler(RouterCore& core, RequestLifecycle& lifecycle)
       : core_(core), lifecycle_(lifecycle) {}
 
-  void event(const engine::GenerateEvent& event);
+  void handleEvent(const engine::GenerateEvent& event);
   /// Handles the time-out of states `starting` and `streaming`, and the end of `backingOff`.
-  void phaseOver(Request& request);
+  void handlePhaseTimeout(Request& request);
   void fail(Request& request, const AttemptFailure& failure);
   /// Continues the request at another engine. The export and all tokens below its offset have
   /// arrived.
@@ -44,14 +44,14 @@
   void handle(Request& request, const engine::GenerateEnded& event);
   void handle(Request& request, const engine::GenerateFailed& event);
   void enterStreaming(Request& request);
-  void noteRefusal(const base::EngineId& engine, base::ErrorCode code);
-  bool mayRunAgain(const Request& request) const;
+  void recordRefusal(const base::EngineId& engine, base::ErrorCode code);
+  bool canRunAgain(const Request& request) const;
   /// Retries the request at once or as soon as the budget allows, or refuses it.
   void retry(Request& request, const base::Error& error);
   /// Checks the retry budget again for a request that waits for it.
   void retryPending(Request& request);
   void backOff(Request& request, std::uint32_t doublings);
-  base::Duration drawnBackoff(base::Duration ceiling);
+  base::Duration backoffWithJitter(base::Duration ceiling);
   void giveUp(Request& request, const base::Error& error);
   /// Extends a time-out once if it fired late, which means that this process was frozen: events
   /// that the engine sent meanwhile have not been read yet.
--- a/src/routing/claim_client.cpp
+++ b/src/routing/claim_client.cpp
@@ -7,14 +7,14 @@
 namespace {
 /// Retry interval: longer than a commit takes in a healthy cell, and several times shorter than
 /// claimTimeout.
-constexpr base::Duration kAskAgainAfter = std::chrono::milliseconds(500);
+constexpr base::Duration kClaimRetryInterval = std::chrono::milliseconds(500);
 /// Retry interval after an answer that no leader was available.
 constexpr base::Duration kUnavailableBackoff = std::chrono::milliseconds(100);
 }  // namespace
 
-void ClaimClient::ask(Request& request) {
-  const base::TimePoint next = core_.now + kAskAgainAfter;
-  lifecycle_.setPhaseDeadline(request, std::min(next, request.claimGiveUpAt));
+void ClaimClient::sendClaim(Request& request) {
+  const base::TimePoint next = core_.now + kClaimRetryInterval;
+  lifecycle_.setPhaseDeadline(request, std::min(next, request.claimDeadline));
   const std::optional<LeaderSession> leader = core_.sessions.leader();
   if (!leader.has_value()) {
     return;
@@ -23,51 +23,51 @@
   message.sequence = nextSequence_++;
   message.claim = {request.caller.idempotencyKey, request.caller.request,
                    request.caller.issuedAt.value_or(core_.now)};
-  unanswered_[message.sequence] = &request;
+  pendingClaims_[message.sequence] = &request;
   request.claimSequences.push_back(message.sequence);
   core_.actions.emplace_back(SendToController{leader->connection, std::move(message)});
 }
 
-void ClaimClient::begin(Request& request) {
-  request.claimGiveUpAt = core_.now + core_.options.claimTimeout;
+void ClaimClient::startClaim(Request& request) {
+  request.claimDeadline = core_.now + core_.options.claimTimeout;
   claiming_.insert(&request);
-  ask(request);
+  sendClaim(request);
 }
 
-bool ClaimClient::askAgain(Request& request) {
-  if (core_.now >= request.claimGiveUpAt) {
+bool ClaimClient::retryClaim(Request& request) {
+  if (core_.now >= request.claimDeadline) {
     return false;
   }
-  ask(request);
+  sendClaim(request);
   return true;
 }
 
-void ClaimClient::leaderChanged() {
+void ClaimClient::resendToLeader() {
   for (Request* request : claiming_) {
-    ask(*request);
+    sendClaim(*request);
   }
 }
 
 std::optional<ClaimAnswer> ClaimClient::reply(const protocol::ClaimReply& reply) {
-  const auto found = unanswered_.find(reply.sequence);
-  if (found == unanswered_.end()) {
+  const auto found = pendingClaims_.find(reply.sequence);
+  if (found == pendingClaims_.end()) {
     return std::nullopt;
   }
   Request& request = *found->second;
-  unanswered_.erase(found);
+  pendingClaims_.erase(found);
   std::erase(request.claimSequences, reply.sequence);
   if (reply.outcome == control::ClaimOutcome::unavailable) {
     const base::Duration backoff =
         core_.random.between(kUnavailableBackoff / 2, kUnavailableBackoff);
-    lifecycle_.setPhaseDeadline(request, std::min(core_.now + backoff, request.claimGiveUpAt));
+    lifecycle_.setPhaseDeadline(request, std::min(core_.now + backoff, request.claimDeadline));
     return std::nullopt;
   }
   return ClaimAnswer{&request, reply.outcome};
 }
 
-void ClaimClient::forget(Request& request) {
+void ClaimClient::removeRequest(Request& request) {
   for (const std::uint64_t sequence : request.claimSequences) {
-    unanswered_.erase(sequence);
+    pendingClaims_.erase(sequence);
   }
   request.claimSequences.clear();
   claiming_.erase(&request);
--- a/src/routing/claim_client.h
+++ b/src/routing/claim_client.h
@@ -25,24 +25,24 @@
   ClaimClient(RouterCore& core, RequestLifecycle& lifecycle) : core_(core), lifecycle_(lifecycle) {}
 
   /// Starts the claim of a request that entered state `claiming`.
-  void begin(Request& request);
+  void startClaim(Request& request);
   /// Handles the time-out of state `claiming`.
   /// @return false if the claim has to be given up.
-  bool askAgain(Request& request);
+  bool retryClaim(Request& request);
   /// Sends all open claims to a leader that is now known and connected.
-  void leaderChanged();
+  void resendToLeader();
   /// @return nothing if no request waits for this answer, or if another answer is still possible.
   std::optional<ClaimAnswer> reply(const protocol::ClaimReply& reply);
   /// Removes a request that no longer waits. Must be called before it leaves state `claiming`.
-  void forget(Request& request);
+  void removeRequest(Request& request);
 
  private:
-  void ask(Request& request);
+  void sendClaim(Request& request);
 
   RouterCore& core_;
   RequestLifecycle& lifecycle_;
   std::uint64_t nextSequence_ = 1;
-  std::map<std::uint64_t, Request*> unanswered_;
+  std::map<std::uint64_t, Request*> pendingClaims_;
   RequestSet claiming_;
 };
 
--- a/src/routing/demand_reporter.cpp
+++ b/src/routing/demand_reporter.cpp
@@ -58,7 +58,7 @@
   }
   const TargetQueue& waiting = queue.target(name);
   const std::size_t batch = waiting.count(QueueRank::batch);
-  const std::size_t interactive = waiting.size() - batch + target.moving;
+  const std::size_t interactive = waiting.size() - batch + target.needingReplica;
   protocol::Demand demand;
   demand.model = servable->model;
   demand.adapter = servable->adapter;
@@ -143,7 +143,7 @@
 
 void DemandReporter::addFormerVersions(const ClusterView& view, const RequestTable& requests,
                                        bool complete, std::vector<protocol::Demand>& entries) {
-  std::map<resource::Servable, std::uint32_t> waiting = requests.waitingToGoOn();
+  std::map<resource::Servable, std::uint32_t> waiting = requests.waitingByPinnedServable();
   std::erase_if(waiting, [&](const auto& entry) {
     return view.resolve(targetName(entry.first)) == entry.first;
   });
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -11,7 +11,7 @@
 /// Polling interval while the circuit breaker's trial at the only engine is in progress.
 constexpr base::Duration kDispatchPoll = std::chrono::milliseconds(50);
 /// Retry delay for callers whose claim was not answered.
-constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
+constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
 }  // namespace
 
 void Dispatcher::run() {
@@ -47,7 +47,7 @@
   }
 }
 
-void Dispatcher::noteReadiness(const std::string& name, bool ready) {
+void Dispatcher::updateReadiness(const std::string& name, bool ready) {
   Target& target = core_.targets[name];
   const bool waiting = core_.queue.target(name).size() > 0;
   if (ready) {
@@ -77,7 +77,7 @@
   }
   setDispatchAt(name, base::kNever);
   const auto target = core_.targets.find(name);
-  if (target->second.running == 0 && target->second.moving == 0) {
+  if (target->second.running == 0 && target->second.needingReplica == 0) {
     core_.targets.erase(target);
   }
 }
@@ -88,7 +88,7 @@
     refuseUnserved(name);
     return;
   }
-  noteReadiness(name, core_.view.hasReadyReplica(*servable));
+  updateReadiness(name, core_.view.hasReadyReplica(*servable));
   if (!core_.mayServe()) {
     // An engine may have started to leave, or the model may have changed, without this router being
     // informed.
@@ -117,22 +117,22 @@
   for (auto entry = queue.entries().begin(); left > 0; --left) {
     Request& request = *entry->request;
     ++entry;  // Invariant: `entry` is not the entry that is removed below.
-    const resource::Servable wanted = request.pinned.value_or(current);
-    if (blocked.contains(wanted)) {
+    const resource::Servable needed = request.pinned.value_or(current);
+    if (blocked.contains(needed)) {
       if (queueEntry(request).rank == QueueRank::resumed) {
         continue;
       }
       break;  // All following requests need the current servable as well.
     }
     if (request.prefixHashes.empty()) {
-      request.prefixHashes = prefixHashes(wanted, request.caller.prompt);
+      request.prefixHashes = prefixHashes(needed, request.caller.prompt);
     }
     const std::optional<ReadyReplica> chosen = core_.selector.choose(
-        core_.now, core_.view.readyReplicas(wanted), {request.prefixHashes, request.failedEngine});
+        core_.now, core_.view.readyReplicas(needed), {request.prefixHashes, request.failedEngine});
     if (chosen.has_value()) {
-      begin(request, *chosen, wanted);
+      begin(request, *chosen, needed);
     } else {
-      blocked.insert(wanted);
+      blocked.insert(needed);
     }
   }
   return blocked;
@@ -141,10 +141,10 @@
 void Dispatcher::begin(Request& request, const ReadyReplica& replica,
                        const resource::Servable& servable) {
   lifecycle_.dequeue(request);
-  lifecycle_.hold(request, replica, servable);
+  lifecycle_.reserveSlot(request, replica, servable);
   if (!request.caller.repeatable && !request.claimed) {
     request.machine.enter(RequestState::claiming);
-    claims_.begin(request);
+    claims_.startClaim(request);
     return;
   }
   start(request);
@@ -153,14 +153,14 @@
 void Dispatcher::start(Request& request) {
   Attempt& attempt = *request.attempt;
   attempt.id = base::AttemptId{core_.nextAttempt++};
-  attempt.handedOverAt = core_.now;
+  attempt.dispatchedAt = core_.now;
   attempt.lastTokenAt = core_.now;
   if (request.attempts == 0) {
     core_.retryBudget.firstAttempt(core_.now);
   }
   ++request.attempts;
   request.machine.enter(RequestState::starting);
-  request.machine.handedOver();
+  request.machine.markDispatched();
   core_.selector.recordDispatch(attempt.engine, request.prefixHashes);
   engine::GenerateRequest generate;
   generate.request = request.caller.request;
@@ -168,7 +168,7 @@
   generate.servable = attempt.servable;
   generate.prompt = request.caller.prompt;
   generate.maxTokens = request.caller.maxTokens;
-  generate.offset = request.machine.delivered();
+  generate.offset = request.machine.deliveredCount();
   generate.priority = request.caller.priority;
   if (request.move != nullptr) {
     generate.kvSource = request.move->kvSource;
@@ -182,9 +182,9 @@
   lifecycle_.setPhaseDeadline(request, core_.now + core_.options.startTimeout);
 }
 
-void Dispatcher::claimAnswered(const ClaimAnswer& answer) {
+void Dispatcher::handleClaimAnswer(const ClaimAnswer& answer) {
   Request& request = *answer.request;
-  claims_.forget(request);
+  claims_.removeRequest(request);
   switch (answer.outcome) {
     case control::ClaimOutcome::granted:
       break;
@@ -206,27 +206,27 @@
   }
   request.claimed = true;
   const std::vector<ReadyReplica>& ready = core_.view.readyReplicas(request.attempt->servable);
-  const bool stillReady = std::any_of(ready.begin(), ready.end(), [&](const ReadyReplica& one) {
+  const bool isStillReady = std::any_of(ready.begin(), ready.end(), [&](const ReadyReplica& one) {
     return one.id == request.attempt->replica;
   });
-  if (stillReady && !core_.selector.isLeaving(request.attempt->engine) && core_.mayServe()) {
+  if (isStillReady && !core_.selector.isLeaving(request.attempt->engine) && core_.mayServe()) {
     start(request);
     return;
   }
-  lifecycle_.release(request, AttemptEnd::byEngine);
+  lifecycle_.releaseAttempt(request, AttemptEnd::byEngine);
   request.machine.enter(RequestState::queued);
   lifecycle_.enqueue(request);
 }
 
-void Dispatcher::claimTimedOut(Request& request) {
-  if (claims_.askAgain(request)) {
+void Dispatcher::handleClaimTimeout(Request& request) {
+  if (claims_.retryClaim(request)) {
     return;
   }
-  claims_.forget(request);
+  claims_.removeRequest(request);
   lifecycle_.refuse(request, {{ErrorCode::claimUnavailable, "",
                                "the cell did not answer the claim of the idempotency key"},
                               true,
-                              kComeBackSoon});
+                              kRetryAfter});
 }
 
 }  // namespace walnut::routing
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -19,9 +19,9 @@
 
   /// Dispatches the queues of all targets that are due.
   void run();
-  void claimAnswered(const ClaimAnswer& answer);
+  void handleClaimAnswer(const ClaimAnswer& answer);
   /// Handles the time-out of state `claiming`.
-  void claimTimedOut(Request& request);
+  void handleClaimTimeout(Request& request);
   base::TimePoint nextWakeup() const;
 
  private:
@@ -29,7 +29,7 @@
   /// @return the servables for which some requests found no free slot.
   std::set<resource::Servable> serveQueue(const std::string& name,
                                           const resource::Servable& current);
-  void noteReadiness(const std::string& name, bool ready);
+  void updateReadiness(const std::string& name, bool ready);
   void scheduleRetry(const std::string& name, const std::set<resource::Servable>& blocked);
   void setDispatchAt(const std::string& name, base::TimePoint at);
   void refuseUnserved(const std::string& name);
--- a/src/routing/load_times.h
+++ b/src/routing/load_times.h
@@ -24,16 +24,16 @@
  private:
   /// Period for which a load counts as recent: that in which slow loads of one cause follow each
   /// other.
-  static constexpr base::Duration kRecent = std::chrono::seconds(60);
-  static constexpr std::size_t kKeptSamples = 8;
+  static constexpr base::Duration kRecentPeriod = std::chrono::seconds(60);
+  static constexpr std::size_t kMaxSamples = 8;
   /// Fewer old loads than this may all have had one cause; the estimate is then at most the
   /// fallback.
-  static constexpr std::size_t kEvidence = 3;
+  static constexpr std::size_t kMinSamples = 3;
 
   MovingAverage average_;
   /// Latest samples, the oldest first. Not a deque, since an empty one takes half a kilobyte and
   /// there are thousands of targets, most of which were never loaded for this router.
-  std::vector<base::Duration> latest_;
+  std::vector<base::Duration> recentSamples_;
   base::TimePoint observedAt_;
 };
 
--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -20,8 +20,8 @@
   base::Endpoint endpoint;
   base::ReplicaId replica;
   resource::Servable servable;
-  base::TimePoint handedOverAt;
-  base::TimePoint lastTokenAt;  ///< Equals handedOverAt until a token arrived.
+  base::TimePoint dispatchedAt;
+  base::TimePoint lastTokenAt;  ///< Equals dispatchedAt until a token arrived.
   MovingAverage tokenInterval;  ///< Per attempt, since accelerators differ in speed.
 };
 
@@ -56,7 +56,7 @@
 /// Retry that the retry budget does not allow yet.
 struct PendingRetry {
   base::Error failure;
-  base::TimePoint giveUpAt;
+  base::TimePoint retryUntil;
 };
 
 /// Record of one request from admission to its terminal output.
@@ -66,17 +66,17 @@
   std::uint64_t sequence = 0;  ///< Arrival order; breaks ties.
   base::TimePoint arrivedAt;
   base::TimePoint deadline;
-  bool cold = false;          ///< No replica was ready when it arrived.
-  bool claimed = false;       ///< The cell granted its idempotency key.
-  bool extended = false;      ///< Its time-out was extended after this process had been frozen.
-  bool immovable = false;     ///< An export was refused: it stays at its engine.
-  bool wantsReplica = false;  ///< Its engine is leaving and no other replica is ready.
+  bool cold = false;             ///< No replica was ready when it arrived.
+  bool claimed = false;          ///< The cell granted its idempotency key.
+  bool timeoutExtended = false;  ///< Its time-out was extended after this process had been frozen.
+  bool cannotMove = false;       ///< An export was refused: it stays at its engine.
+  bool needsReplica = false;     ///< Its engine is leaving and no other replica is ready.
 
   base::TimePoint phaseDeadline = base::kNever;  ///< Time-out or end of the current state.
   base::TimePoint moveAt = base::kNever;  ///< Next check of a request whose engine is leaving.
   base::TimePoint timer = base::kNever;   ///< Time registered in the timer set.
 
-  base::TimePoint claimGiveUpAt = base::kNever;
+  base::TimePoint claimDeadline = base::kNever;
   std::vector<std::uint64_t> claimSequences;  ///< Sequences of its unanswered ClaimRequests.
 
   std::uint32_t attempts = 0;                  ///< Number of attempts that were started.
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -5,7 +5,7 @@
 void RequestLifecycle::enqueue(Request& request) {
   request.phaseDeadline = base::kNever;
   // The engine that has its exported state may leave: see StateParker.
-  request.moveAt = waitsWithState(request) ? core_.now : base::kNever;
+  request.moveAt = waitsWithExportedState(request) ? core_.now : base::kNever;
   core_.requests.arm(request);
   core_.queue.push(request);
   core_.demand.changed(request.caller.target);
@@ -17,8 +17,8 @@
   core_.demand.changed(request.caller.target);
 }
 
-void RequestLifecycle::hold(Request& request, const ReadyReplica& replica,
-                            const resource::Servable& servable) {
+void RequestLifecycle::reserveSlot(Request& request, const ReadyReplica& replica,
+                                   const resource::Servable& servable) {
   request.attempt =
       Attempt{{}, replica.engine, replica.endpoint, replica.id, servable, core_.now, core_.now, {}};
   core_.selector.takeSlot(replica.engine, replica.id);
@@ -27,17 +27,17 @@
   core_.demand.changed(request.caller.target);
 }
 
-void RequestLifecycle::release(Request& request, AttemptEnd end) {
+void RequestLifecycle::releaseAttempt(Request& request, AttemptEnd end) {
   if (!request.attempt.has_value()) {
     return;
   }
   const Attempt& attempt = *request.attempt;
-  const bool handedOver = attempt.id != base::AttemptId{};
-  if (handedOver && end == AttemptEnd::cancelled) {
+  const bool wasDispatched = attempt.id != base::AttemptId{};
+  if (wasDispatched && end == AttemptEnd::cancelled) {
     core_.actions.emplace_back(
         CancelAttempt{attempt.engine, attempt.endpoint, {request.caller.request, attempt.id}});
   }
-  if (handedOver) {
+  if (wasDispatched) {
     // A circuit breaker trial that ended by its deadline or its caller has no outcome; it is over.
     core_.selector.recordNoOutcome(core_.now, attempt.engine);
   }
@@ -47,7 +47,7 @@
   core_.demand.changed(request.caller.target);
   core_.dispatchDue.insert(request.caller.target);
   request.attempt.reset();
-  setWantsReplica(request, false);
+  setNeedsReplica(request, false);
   request.moveAt = base::kNever;
 }
 
@@ -84,16 +84,16 @@
   core_.requests.arm(request);
 }
 
-void RequestLifecycle::setWantsReplica(Request& request, bool wants) {
-  if (request.wantsReplica == wants) {
+void RequestLifecycle::setNeedsReplica(Request& request, bool needs) {
+  if (request.needsReplica == needs) {
     return;
   }
-  request.wantsReplica = wants;
+  request.needsReplica = needs;
   Target& target = core_.targets[request.caller.target];
-  if (wants) {
-    ++target.moving;
+  if (needs) {
+    ++target.needingReplica;
   } else {
-    --target.moving;
+    --target.needingReplica;
   }
   core_.demand.changed(request.caller.target);
 }
@@ -102,8 +102,8 @@
   if (request.machine.state() == RequestState::queued) {
     dequeue(request);
   }
-  release(request, end);
-  setWantsReplica(request, false);
+  releaseAttempt(request, end);
+  setNeedsReplica(request, false);
   dropMove(request);
   request.machine.enter(RequestState::done);
   core_.requests.erase(request);
@@ -111,7 +111,7 @@
 
 void RequestLifecycle::end(Request& request, engine::FinishReason reason) {
   core_.actions.emplace_back(
-      CallerEnded{request.caller.request, request.machine.delivered(), reason, request.cold});
+      CallerEnded{request.caller.request, request.machine.deliveredCount(), reason, request.cold});
   remove(request, AttemptEnd::byEngine);
 }
 
@@ -123,12 +123,12 @@
 
 void RequestLifecycle::abandon(Request& request) { remove(request, AttemptEnd::cancelled); }
 
-bool RequestLifecycle::waitsWithState(const Request& request) {
+bool RequestLifecycle::waitsWithExportedState(const Request& request) {
   return request.machine.state() == RequestState::queued && !request.caller.repeatable &&
          request.move != nullptr && request.move->detached;
 }
 
-bool RequestLifecycle::mayBeSentAgain(const Request& request) {
+bool RequestLifecycle::canBeResent(const Request& request) {
   return request.caller.repeatable || request.machine.executed() == Executed::no;
 }
 
--- a/src/routing/request_lifecycle.h
+++ b/src/routing/request_lifecycle.h
@@ -27,10 +27,11 @@
   void enqueue(Request& request);
   void dequeue(Request& request);
   /// Reserves a slot at the replica for the next attempt.
-  void hold(Request& request, const ReadyReplica& replica, const resource::Servable& servable);
+  void reserveSlot(Request& request, const ReadyReplica& replica,
+                   const resource::Servable& servable);
   /// Frees the slot of the current attempt, if there is one. An attempt that was never dispatched
   /// needs no cancellation.
-  void release(Request& request, AttemptEnd end);
+  void releaseAttempt(Request& request, AttemptEnd end);
   /// Drops the remaining data of a move; the engines that have the exported state may free it.
   void dropMove(Request& request);
   /// Discards the request's exported state that this process stores.
@@ -38,7 +39,7 @@
   /// Sets the time-out of the request's current state.
   void setPhaseDeadline(Request& request, base::TimePoint at);
   void setMoveAt(Request& request, base::TimePoint at);
-  void setWantsReplica(Request& request, bool wants);
+  void setNeedsReplica(Request& request, bool needs);
 
   /// @name Terminal outputs. The request is gone afterwards.
   /// @{
@@ -49,9 +50,9 @@
   /// @}
 
   /// @return whether a caller may send the request again: it is repeatable or was not executed.
-  static bool mayBeSentAgain(const Request& request);
+  static bool canBeResent(const Request& request);
   /// @return whether the request waits for a replica and can continue only from its exported state.
-  static bool waitsWithState(const Request& request);
+  static bool waitsWithExportedState(const Request& request);
 
  private:
   void remove(Request& request, AttemptEnd end);
--- a/src/routing/request_machine.cpp
+++ b/src/routing/request_machine.cpp
@@ -52,26 +52,26 @@
   state_ = next;
 }
 
-void RequestMachine::handedOver() {
-  earlier_ = combine(earlier_, attempt_);
-  attempt_ = Executed::unknown;
+void RequestMachine::markDispatched() {
+  previousAttempts_ = combine(previousAttempts_, currentAttempt_);
+  currentAttempt_ = Executed::unknown;
 }
 
-void RequestMachine::started() { attempt_ = Executed::yes; }
+void RequestMachine::markStarted() { currentAttempt_ = Executed::yes; }
 
-void RequestMachine::notStarted() {
-  if (attempt_ != Executed::yes) {
-    attempt_ = Executed::no;
+void RequestMachine::markNotStarted() {
+  if (currentAttempt_ != Executed::yes) {
+    currentAttempt_ = Executed::no;
   }
 }
 
-Executed RequestMachine::executed() const { return combine(earlier_, attempt_); }
+Executed RequestMachine::executed() const { return combine(previousAttempts_, currentAttempt_); }
 
-TokenVerdict RequestMachine::judgeToken(std::uint32_t offset) const {
+TokenCheck RequestMachine::checkToken(std::uint32_t offset) const {
   if (offset < delivered_) {
-    return TokenVerdict::duplicate;
+    return TokenCheck::duplicate;
   }
-  return offset == delivered_ ? TokenVerdict::deliver : TokenVerdict::gap;
+  return offset == delivered_ ? TokenCheck::deliver : TokenCheck::gap;
 }
 
 void RequestMachine::deliver(const std::string& text) {
--- a/src/routing/request_machine.h
+++ b/src/routing/request_machine.h
@@ -32,7 +32,7 @@
   done,
 };
 
-enum class TokenVerdict : std::uint8_t {
+enum class TokenCheck : std::uint8_t {
   deliver,    ///< The next expected token.
   duplicate,  ///< The token was already delivered.
   gap,        ///< A token before it is missing: the stream is broken.
@@ -47,27 +47,27 @@
   void enter(RequestState next);
 
   /// Records that an attempt was dispatched to an engine.
-  void handedOver();
+  void markDispatched();
   /// Records that the engine runs, or ran, the current attempt.
-  void started();
+  void markStarted();
   /// Records that the current attempt is known not to have been started. Ignored if it was observed
   /// to run.
-  void notStarted();
+  void markNotStarted();
   /// @return whether the current attempt may have been executed.
-  bool attemptMayHaveRun() const { return attempt_ != Executed::no; }
+  bool attemptMayHaveRun() const { return currentAttempt_ != Executed::no; }
   /// @return `no` only if no attempt was dispatched, or each one is known not to have been started.
   Executed executed() const;
 
-  TokenVerdict judgeToken(std::uint32_t offset) const;
+  TokenCheck checkToken(std::uint32_t offset) const;
   void deliver(const std::string& text);
   /// @return the number of delivered tokens, which is the next offset.
-  std::uint32_t delivered() const { return delivered_; }
+  std::uint32_t deliveredCount() const { return delivered_; }
   const std::string& deliveredText() const { return deliveredText_; }
 
  private:
   RequestState state_ = RequestState::queued;
-  Executed attempt_ = Executed::no;  ///< Outcome of the current attempt.
-  Executed earlier_ = Executed::no;  ///< Combined outcome of all earlier attempts.
+  Executed currentAttempt_ = Executed::no;    ///< Outcome of the current attempt.
+  Executed previousAttempts_ = Executed::no;  ///< Combined outcome of all earlier attempts.
   std::uint32_t delivered_ = 0;
   std::string deliveredText_;
 };
--- a/src/routing/request_queue.h
+++ b/src/routing/request_queue.h
@@ -51,7 +51,7 @@
   void remove(Request& request);
   std::size_t size() const { return size_; }
   /// @return the number of requests that count against the total limit.
-  std::size_t fresh() const { return size_ - resumed_; }
+  std::size_t newRequestCount() const { return size_ - resumed_; }
   /// @return the queue of the target; an empty one if it has no waiting requests.
   const TargetQueue& target(const std::string& name) const;
   const std::map<std::string, TargetQueue>& targets() const { return targets_; }
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -27,14 +27,14 @@
   requests_.erase(id);
 }
 
-std::map<resource::Servable, std::uint32_t> RequestTable::waitingToGoOn() const {
+std::map<resource::Servable, std::uint32_t> RequestTable::waitingByPinnedServable() const {
   std::map<resource::Servable, std::uint32_t> waiting;
   for (const auto& [id, request] : requests_) {
     const RequestState state = request->machine.state();
-    const bool waits = request->wantsReplica || state == RequestState::queued ||
-                       state == RequestState::claiming || state == RequestState::starting ||
-                       state == RequestState::backingOff;
-    if (request->pinned.has_value() && waits) {
+    const bool isWaiting = request->needsReplica || state == RequestState::queued ||
+                           state == RequestState::claiming || state == RequestState::starting ||
+                           state == RequestState::backingOff;
+    if (request->pinned.has_value() && isWaiting) {
       ++waiting[*request->pinned];
     }
   }
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -29,7 +29,7 @@
   void erase(Request& request);
   std::size_t size() const { return requests_.size(); }
   /// @return the number of waiting requests by the servable that they are pinned to.
-  std::map<resource::Servable, std::uint32_t> waitingToGoOn() const;
+  std::map<resource::Servable, std::uint32_t> waitingByPinnedServable() const;
 
   /// Registers the earliest of the request's deadline, phaseDeadline and moveAt. Must be called
   /// after any of them changed.
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 /// Retry delay for callers whose request ran into its deadline.
-constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
+constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
 /// Number of probe intervals that a watched controller may lag behind a confirmed bound.
 constexpr int kWatchLagProbes = 2;
 /// Number of probe intervals within which the first snapshot page of the cell must arrive.
@@ -70,12 +70,12 @@
 void RouterImpl::handle(const CallerGone& input) {
   Request* request = core_.requests.find(input.request);
   if (request != nullptr) {
-    claims_.forget(*request);
+    claims_.removeRequest(*request);
     lifecycle_.abandon(*request);
   }
 }
 
-void RouterImpl::handle(const EngineEvent& input) { attempts_.event(input.event); }
+void RouterImpl::handle(const EngineEvent& input) { attempts_.handleEvent(input.event); }
 
 void RouterImpl::handle(const EngineExported& input) { mover_.exported(input); }
 
@@ -133,7 +133,7 @@
 void RouterImpl::receive(protocol::ConnectionId, const protocol::ClaimReply& reply) {
   const std::optional<ClaimAnswer> answer = claims_.reply(reply);
   if (answer.has_value()) {
-    dispatcher_.claimAnswered(*answer);
+    dispatcher_.handleClaimAnswer(*answer);
   }
 }
 
@@ -187,7 +187,7 @@
   leader_ = leader;
   core_.demand.leaderChanged(core_.now, leader);
   if (leader.has_value()) {
-    claims_.leaderChanged();
+    claims_.resendToLeader();
   }
 }
 
@@ -224,15 +224,15 @@
 
 void RouterImpl::requestDue(Request& request) {
   if (request.deadline <= core_.now) {
-    claims_.forget(request);
-    const bool retryable = RequestLifecycle::mayBeSentAgain(request);
+    claims_.removeRequest(request);
+    const bool retryable = RequestLifecycle::canBeResent(request);
     lifecycle_.refuse(request, {{base::ErrorCode::deadlineExceeded, "", "the deadline passed"},
                                 retryable,
-                                retryable ? kComeBackSoon : base::Duration(0)});
+                                retryable ? kRetryAfter : base::Duration(0)});
     return;
   }
   if (request.phaseDeadline > core_.now) {
-    if (RequestLifecycle::waitsWithState(request)) {
+    if (RequestLifecycle::waitsWithExportedState(request)) {
       parker_.consider(request);
     } else {
       mover_.consider(request);
@@ -241,7 +241,7 @@
   }
   switch (request.machine.state()) {
     case RequestState::claiming:
-      dispatcher_.claimTimedOut(request);
+      dispatcher_.handleClaimTimeout(request);
       break;
     case RequestState::exporting:
       mover_.exportTimedOut(request);
@@ -252,7 +252,7 @@
     case RequestState::starting:
     case RequestState::streaming:
     case RequestState::backingOff:
-      attempts_.phaseOver(request);
+      attempts_.handlePhaseTimeout(request);
       break;
     case RequestState::queued:
     case RequestState::done:
--- a/src/routing/state_parker.cpp
+++ b/src/routing/state_parker.cpp
@@ -92,7 +92,7 @@
   lifecycle_.dequeue(request);
   request.machine.enter(RequestState::parking);
   lifecycle_.setMoveAt(request, base::kNever);
-  lifecycle_.setWantsReplica(request, true);
+  lifecycle_.setNeedsReplica(request, true);
 }
 
 void StateParker::keepHere(Request& request) {
@@ -202,7 +202,7 @@
 }
 
 void StateParker::returnToQueue(Request& request) {
-  lifecycle_.setWantsReplica(request, false);
+  lifecycle_.setNeedsReplica(request, false);
   request.machine.enter(RequestState::queued);
   lifecycle_.enqueue(request);
 }
--- a/src/routing/stream_mover.cpp
+++ b/src/routing/stream_mover.cpp
@@ -24,7 +24,7 @@
   const auto target = core_.targets.find(request.caller.target);
   const base::Duration usual = target->second.tokenInterval.valueOr(kInitialTokenInterval);
   const base::Duration interval = request.attempt->tokenInterval.valueOr(usual);
-  const std::uint32_t delivered = request.machine.delivered();
+  const std::uint32_t delivered = request.machine.deliveredCount();
   const std::uint32_t left =
       request.caller.maxTokens > delivered ? request.caller.maxTokens - delivered : 0;
   return interval * static_cast<base::Duration::rep>(left);
@@ -56,7 +56,7 @@
   const resource::Engine* engine = core_.view.engine(request.attempt->engine);
   const bool reclaimed = engine != nullptr && engine->reclaimAt.has_value();
   if (!reclaimed) {
-    lifecycle_.setWantsReplica(request, false);
+    lifecycle_.setNeedsReplica(request, false);
     lifecycle_.setMoveAt(request, base::kNever);
     return;
   }
@@ -65,17 +65,17 @@
   const base::TimePoint soon = core_.now + kLookAgainAfter;
   if (core_.now + remainingTime(request) <= mustLeaveAt) {
     // The estimate may be wrong: check again after half of the time.
-    lifecycle_.setWantsReplica(request, false);
+    lifecycle_.setNeedsReplica(request, false);
     lifecycle_.setMoveAt(request, std::max(soon, core_.now + (mustLeaveAt - core_.now) / 2));
     return;
   }
   const bool lastMoment = core_.now >= mustLeaveAt;
   const bool exportsNow = otherReplicaReady(request) || (lastMoment && mayBeParked(request));
-  if (!request.immovable && exportsNow) {
+  if (!request.cannotMove && exportsNow) {
     beginExport(request);
     return;
   }
-  lifecycle_.setWantsReplica(request, true);
+  lifecycle_.setNeedsReplica(request, true);
   if (!lastMoment) {
     lifecycle_.setMoveAt(request, std::min(soon, mustLeaveAt));
   } else if (request.caller.repeatable && isServed(request)) {
@@ -88,7 +88,7 @@
 
 void StreamMover::beginExport(Request& request) {
   const Attempt& attempt = *request.attempt;
-  lifecycle_.setWantsReplica(request, false);
+  lifecycle_.setNeedsReplica(request, false);
   lifecycle_.setMoveAt(request, base::kNever);
   request.machine.enter(RequestState::exporting);
   request.move = std::make_unique<Move>();
@@ -115,7 +115,7 @@
   Move& move = *request->move;
   move.offset = reply.offset;
   move.kvSource = {move.source.endpoint, reply.handle};
-  const std::uint32_t delivered = request->machine.delivered();
+  const std::uint32_t delivered = request->machine.deliveredCount();
   if (reply.offset == delivered) {
     attempts_.detach(*request);
   } else if (reply.offset < delivered || move.sourceFailed) {
@@ -131,7 +131,7 @@
     return;
   }
   request.move.reset();
-  request.immovable = true;
+  request.cannotMove = true;
   request.machine.enter(RequestState::streaming);
   lifecycle_.setPhaseDeadline(request, core_.now + core_.options.tokenTimeout);
   consider(request);
--- a/src/routing/target_table.h
+++ b/src/routing/target_table.h
@@ -15,7 +15,8 @@
 /// Observations of one model or adapter at this router.
 struct Target {
   std::uint32_t running = 0;  ///< Requests with an attempt or a reserved slot.
-  std::uint32_t moving = 0;   ///< Streams that need another replica because their engine leaves.
+  std::uint32_t needingReplica =
+      0;  ///< Streams that need another replica because their engine leaves.
   base::TimePoint lastArrival;
   /// Time since which requests have waited without a ready replica.
   std::optional<base::TimePoint> coldSince;
@@ -32,16 +33,16 @@
 };
 
 /// State of a target's queue and replicas at the time of an estimate.
-struct QueueSituation {
+struct QueueLoad {
   std::size_t readyReplicas = 0;
-  std::size_t ahead = 0;  ///< Waiting requests that are served earlier.
+  std::size_t requestsAhead = 0;  ///< Waiting requests that are served earlier.
 };
 
 /// @return the estimated time from the arrival of a request to its first token. Without a ready
 /// replica it includes the remaining time of the load. Requests ahead that find no free slot are
 /// served at the observed service time. Values that were not yet observed count as zero, except for
 /// the load, so that no request is refused on a guess.
-base::Duration estimateWait(const Target& target, const QueueSituation& situation,
-                            base::TimePoint now, const RouterOptions& options);
+base::Duration estimateWait(const Target& target, const QueueLoad& queueLoad, base::TimePoint now,
+                            const RouterOptions& options);
 
 }  // namespace walnut::routing
--- a/test/routing/demand_reporter_test.cpp
+++ b/test/routing/demand_reporter_test.cpp
@@ -53,8 +53,8 @@
     targets_["m"].lastArrival = now_;
     reporter_.changed("m");
   }
-  void setMoving(std::uint32_t moving) {
-    targets_["m"].moving = moving;
+  void setNeedingReplica(std::uint32_t needingReplica) {
+    targets_["m"].needingReplica = needingReplica;
     reporter_.changed("m");
   }
   void refuseUntil(base::TimePoint until) {
@@ -118,16 +118,16 @@
 
 TEST(DemandReporter, waitingIsReportedInTheNextInterval) {
   Fixture fixture;
-  fixture.setMoving(1);
+  fixture.setNeedingReplica(1);
   const auto report = fixture.run();
   CHECK_EQUAL(1U, report.value().entries.at(0).waitingInteractive);
-  fixture.setMoving(0);
+  fixture.setNeedingReplica(0);
   CHECK_EQUAL(0U, fixture.run().value().entries.at(0).waitingInteractive);
 }
 
 TEST(DemandReporter, waitingThatDoesNotChangeIsReportedOnce) {
   Fixture fixture;
-  fixture.setMoving(1);
+  fixture.setNeedingReplica(1);
   CHECK_EQUAL(1U, fixture.entriesWithin(100).size());
 }
 
