--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -53,7 +53,7 @@
 }
 
 std::optional<Refusal> Admission::checkRouter() const {
-  if (!core_.mayServe()) {
+  if (!core_.canServe()) {
     return retryableRefusal(ErrorCode::configurationUnconfirmed,
                             "no majority of controllers confirms this router's configuration",
                             kRetryAfter);
@@ -102,8 +102,8 @@
     observed.coldSince = observed.coldSince.value_or(core_.now);
     observed.refusedDemandUntil = std::max(observed.refusedDemandUntil, core_.now + 2 * wait);
     observed.refusedPriority = caller.priority;
-    core_.demand.changed(caller.target);
-    core_.demand.urgent(core_.now);
+    core_.demand.markChanged(caller.target);
+    core_.demand.requestUrgentReport(core_.now);
   }
   return retryableRefusal(ErrorCode::deadlineUnreachable,
                           "the estimated wait ends after the deadline", wait);
@@ -153,7 +153,7 @@
     return;
   }
   core_.targets[caller.target].lastArrival = core_.now;
-  core_.demand.changed(caller.target);
+  core_.demand.markChanged(caller.target);
   const base::TimePoint deadline = deadlineOf(caller);
   refusal = checkDeadline(caller, deadline);
   if (!refusal.has_value()) {
--- a/src/routing/cluster_view.cpp
+++ b/src/routing/cluster_view.cpp
@@ -15,7 +15,7 @@
   if (delta.fromIndex > index_) {
     return ApplyResult::gap;
   }
-  contents_.boundReadyLists();
+  contents_.limitReadyCache();
   change_.names = false;
   for (const protocol::Change& change : delta.changes) {
     contents_.apply(change, change_);
@@ -28,33 +28,33 @@
 ApplyResult ClusterView::applyPage(protocol::ConnectionId connection,
                                    const protocol::WatchSnapshotPage& page) {
   if (page.index < index_) {
-    collecting_.erase(connection);
+    pendingSnapshots_.erase(connection);
     return ApplyResult::ignored;
   }
   if (page.page == 0) {
-    collecting_[connection] = Collecting{page.index, 0, {}};
+    pendingSnapshots_[connection] = PendingSnapshot{page.index, 0, {}};
   }
-  const auto found = collecting_.find(connection);
-  const bool expected = found != collecting_.end() && found->second.index == page.index &&
+  const auto found = pendingSnapshots_.find(connection);
+  const bool expected = found != pendingSnapshots_.end() && found->second.index == page.index &&
                         found->second.nextPage == page.page;
   if (!expected) {
-    collecting_.erase(connection);
+    pendingSnapshots_.erase(connection);
     return ApplyResult::gap;
   }
-  Collecting& collecting = found->second;
-  ViewChange untold;  // After the last page everything is reported as changed.
+  PendingSnapshot& snapshot = found->second;
+  ViewChange ignoredChange;  // After the last page everything is reported as changed.
   for (const protocol::Change& change : page.changes) {
-    collecting.contents.apply(change, untold);
+    snapshot.contents.apply(change, ignoredChange);
   }
-  ++collecting.nextPage;
+  ++snapshot.nextPage;
   if (!page.last) {
     return ApplyResult::applied;
   }
-  contents_ = std::move(collecting.contents);
-  collecting_.erase(found);
+  contents_ = std::move(snapshot.contents);
+  pendingSnapshots_.erase(found);
   index_ = page.index;
   namesIndex_ = page.index;
-  contents_.touchAll(change_);
+  contents_.markAllChanged(change_);
   change_.everything = true;
   change_.membership = true;
   return ApplyResult::applied;
--- a/src/routing/cluster_view.h
+++ b/src/routing/cluster_view.h
@@ -25,7 +25,7 @@
   ApplyResult applyDelta(const protocol::WatchDelta& delta);
   ApplyResult applyPage(protocol::ConnectionId connection, const protocol::WatchSnapshotPage& page);
   /// Drops the snapshot pages received over a connection that was closed.
-  void forgetPages(protocol::ConnectionId connection) { collecting_.erase(connection); }
+  void dropPages(protocol::ConnectionId connection) { pendingSnapshots_.erase(connection); }
 
   consensus::LogIndex index() const { return index_; }
   /// @return the index at which servedNames last changed, or may have changed.
@@ -67,7 +67,7 @@
  private:
   /// Snapshot whose pages have not all arrived. Each page is applied on arrival, since a list of
   /// all changes would take more memory than the state itself.
-  struct Collecting {
+  struct PendingSnapshot {
     consensus::LogIndex index = 0;
     std::uint32_t nextPage = 0;
     ViewContents contents;
@@ -76,7 +76,7 @@
   ViewContents contents_;
   consensus::LogIndex index_ = 0;
   consensus::LogIndex namesIndex_ = 0;
-  std::map<protocol::ConnectionId, Collecting> collecting_;
+  std::map<protocol::ConnectionId, PendingSnapshot> pendingSnapshots_;
   ViewChange change_;
 };
 
--- a/src/routing/controller_sessions.cpp
+++ b/src/routing/controller_sessions.cpp
@@ -27,7 +27,7 @@
   reconcile();
 }
 
-std::set<base::Endpoint> ControllerSessions::wanted() const {
+std::set<base::Endpoint> ControllerSessions::wantedEndpoints() const {
   std::set<base::Endpoint> endpoints = members_;
   if (members_.empty() || fallback_) {
     endpoints.insert(options_.controllers.begin(), options_.controllers.end());
@@ -42,7 +42,7 @@
 }
 
 void ControllerSessions::reconcile() {
-  const std::set<base::Endpoint> endpoints = wanted();
+  const std::set<base::Endpoint> endpoints = wantedEndpoints();
   for (auto entry = sessions_.begin(); entry != sessions_.end();) {
     if (endpoints.contains(entry->first)) {
       ++entry;
@@ -62,19 +62,19 @@
   }
 }
 
-bool ControllerSessions::acceptable(const protocol::Hello& hello) const {
+bool ControllerSessions::isAcceptable(const protocol::Hello& hello) const {
   return hello.role == protocol::PeerRole::controller && hello.cell == options_.cell &&
          hello.protocolVersion == protocol::kProtocolVersion;
 }
 
-void ControllerSessions::connected(base::TimePoint now, const ControllerConnected& event,
-                                   consensus::LogIndex viewIndex) {
+void ControllerSessions::handleConnected(base::TimePoint now, const ControllerConnected& event,
+                                         consensus::LogIndex viewIndex) {
   const auto found = sessions_.find(event.endpoint);
   if (found == sessions_.end()) {
     return;  // Closed in the meantime.
   }
   Session& session = found->second;
-  if (!acceptable(event.hello)) {
+  if (!isAcceptable(event.hello)) {
     actions_.emplace_back(CloseController{event.endpoint});
     backOff(now, session);
     return;
@@ -94,7 +94,7 @@
   if (session.zone == options_.zone && !watched_.has_value()) {
     chooseWatch(now, viewIndex);
   }
-  checkFallback(now);
+  updateFallback(now);
 }
 
 void ControllerSessions::backOff(base::TimePoint now, Session& session) {
@@ -106,7 +106,7 @@
   session.reopenAt = now + random_.between(ceiling / 2, ceiling);
 }
 
-std::optional<protocol::ConnectionId> ControllerSessions::disconnected(
+std::optional<protocol::ConnectionId> ControllerSessions::handleDisconnected(
     base::TimePoint now, const base::Endpoint& endpoint) {
   const auto found = sessions_.find(endpoint);
   if (found == sessions_.end() || found->second.state == SessionState::backingOff) {
@@ -122,7 +122,7 @@
     watched_.reset();
     chooseWatchAt_ = now;
   }
-  checkFallback(now);
+  updateFallback(now);
   return gone;
 }
 
@@ -136,7 +136,7 @@
   if (!watched_.has_value()) {
     chooseWatchAt_ = now;
   }
-  checkFallback(now);
+  updateFallback(now);
 }
 
 bool ControllerSessions::memberConnected() const {
@@ -145,7 +145,7 @@
   });
 }
 
-void ControllerSessions::checkFallback(base::TimePoint now) {
+void ControllerSessions::updateFallback(base::TimePoint now) {
   if (members_.empty()) {
     return;  // The configured controllers are used anyway.
   }
@@ -205,7 +205,7 @@
       SendToController{sessions_.at(*watched_).connection, protocol::WatchRequest{viewIndex}});
 }
 
-void ControllerSessions::watchIsBehind(base::TimePoint now, consensus::LogIndex viewIndex) {
+void ControllerSessions::replaceLaggingWatch(base::TimePoint now, consensus::LogIndex viewIndex) {
   if (!watched_.has_value()) {
     return;
   }
@@ -229,7 +229,7 @@
   if (chooseWatchAt_ <= now) {
     chooseWatch(now, viewIndex);
   }
-  checkFallback(now);
+  updateFallback(now);
 }
 
 base::TimePoint ControllerSessions::nextWakeup() const {
--- a/src/routing/controller_sessions.h
+++ b/src/routing/controller_sessions.h
@@ -36,17 +36,17 @@
                      std::vector<RouterAction>& actions);
 
   void start(base::TimePoint now);
-  void connected(base::TimePoint now, const ControllerConnected& event,
-                 consensus::LogIndex viewIndex);
+  void handleConnected(base::TimePoint now, const ControllerConnected& event,
+                       consensus::LogIndex viewIndex);
   /// @return the connection that was closed, if there was one.
-  std::optional<protocol::ConnectionId> disconnected(base::TimePoint now,
-                                                     const base::Endpoint& endpoint);
+  std::optional<protocol::ConnectionId> handleDisconnected(base::TimePoint now,
+                                                           const base::Endpoint& endpoint);
   void membershipChanged(base::TimePoint now, const consensus::Membership& membership);
   /// Determines the leader from the reply with the greatest term.
   void probeReply(const protocol::ProbeReply& reply);
   /// Switches to another controller, if there is one, because the watched one does not send
   /// committed changes.
-  void watchIsBehind(base::TimePoint now, consensus::LogIndex viewIndex);
+  void replaceLaggingWatch(base::TimePoint now, consensus::LogIndex viewIndex);
   /// Restarts the watch at the watched controller from the view's index.
   void renewWatch(base::TimePoint now, consensus::LogIndex viewIndex);
   /// Runs the timers that are due.
@@ -70,14 +70,14 @@
     base::TimePoint avoidWatchUntil;  ///< Set when it lagged behind as the watched controller.
   };
 
-  std::set<base::Endpoint> wanted() const;
+  std::set<base::Endpoint> wantedEndpoints() const;
   void reconcile();
   void open(const base::Endpoint& endpoint, Session& session);
   void backOff(base::TimePoint now, Session& session);
   void chooseWatch(base::TimePoint now, consensus::LogIndex viewIndex);
   bool memberConnected() const;
-  void checkFallback(base::TimePoint now);
-  bool acceptable(const protocol::Hello& hello) const;
+  void updateFallback(base::TimePoint now);
+  bool isAcceptable(const protocol::Hello& hello) const;
 
   const RouterOptions& options_;
   base::RouterId id_;
--- a/src/routing/demand_reporter.cpp
+++ b/src/routing/demand_reporter.cpp
@@ -9,49 +9,50 @@
 /// them.
 constexpr base::Duration kCompleteInterval = std::chrono::seconds(30);
 /// Heartbeat interval: five reports within the leader's demandLifetime.
-constexpr base::Duration kAliveInterval = std::chrono::seconds(1);
+constexpr base::Duration kHeartbeatInterval = std::chrono::seconds(1);
 /// Interval for changes that only keep a replica from being unloaded as idle, which takes minutes.
-constexpr base::Duration kSlowInterval = std::chrono::seconds(5);
+constexpr base::Duration kLowPriorityInterval = std::chrono::seconds(5);
 /// Minimum change of the number of running requests that is reported at once. The planner converts
 /// them to replicas of 16 requests each (control/target_planner), so smaller changes don't matter.
-constexpr std::uint32_t kRunningStep = 4;
+constexpr std::uint32_t kMinRunningChange = 4;
 /// Minimum interval between urgent reports, so that a burst over many targets takes few messages.
 constexpr base::Duration kUrgentSpacing = std::chrono::milliseconds(10);
 
-bool waits(const protocol::Demand& demand) {
+bool hasWaiting(const protocol::Demand& demand) {
   return demand.waitingInteractive > 0 || demand.waitingBatch > 0;
 }
 
-bool isActive(const protocol::Demand& demand) { return waits(demand) || demand.running > 0; }
+bool isActive(const protocol::Demand& demand) { return hasWaiting(demand) || demand.running > 0; }
 
-/// @return whether the number of running requests changed by at least one half and by kRunningStep.
-bool runningChangedMuch(std::uint32_t former, std::uint32_t present) {
-  const std::uint32_t difference = former < present ? present - former : former - present;
-  return difference >= std::max(kRunningStep, former / 2);
+/// @return whether the number of running requests changed by at least one half and by
+/// kMinRunningChange.
+bool runningChangedMuch(std::uint32_t previous, std::uint32_t current) {
+  const std::uint32_t difference = previous < current ? current - previous : previous - current;
+  return difference >= std::max(kMinRunningChange, previous / 2);
 }
 
 }  // namespace
 
-void DemandReporter::urgent(base::TimePoint now) {
-  nextAt_ = std::min(nextAt_, std::max(now, sentAt_ + kUrgentSpacing));
+void DemandReporter::requestUrgentReport(base::TimePoint now) {
+  nextReportAt_ = std::min(nextReportAt_, std::max(now, lastSentAt_ + kUrgentSpacing));
 }
 
-void DemandReporter::leaderChanged(base::TimePoint now,
-                                   const std::optional<LeaderSession>& leader) {
+void DemandReporter::setLeader(base::TimePoint now, const std::optional<LeaderSession>& leader) {
   if (leader_ == leader) {
     return;
   }
   leader_ = leader;
   if (leader_.has_value()) {
-    completeAt_ = now;
-    nextAt_ = now;
+    nextCompleteAt_ = now;
+    nextReportAt_ = now;
   }
 }
 
-std::optional<protocol::Demand> DemandReporter::entry(base::TimePoint now, const std::string& name,
-                                                      const Target& target,
-                                                      const RequestQueue& queue,
-                                                      const ClusterView& view) const {
+std::optional<protocol::Demand> DemandReporter::makeEntry(base::TimePoint now,
+                                                          const std::string& name,
+                                                          const Target& target,
+                                                          const RequestQueue& queue,
+                                                          const ClusterView& view) const {
   const std::optional<resource::Servable> servable = view.resolve(name);
   if (!servable.has_value()) {
     return std::nullopt;
@@ -76,39 +77,39 @@
   return demand;
 }
 
-DemandReporter::Due DemandReporter::dueOf(base::TimePoint now, const std::string& name,
-                                          const protocol::Demand& demand) const {
-  const auto found = reported_.find(name);
-  if (found == reported_.end()) {
-    return Due::now;
+DemandReporter::Urgency DemandReporter::urgencyOf(base::TimePoint now, const std::string& name,
+                                                  const protocol::Demand& demand) const {
+  const auto found = reportedEntries_.find(name);
+  if (found == reportedEntries_.end()) {
+    return Urgency::now;
   }
-  const protocol::Demand& former = found->second.demand;
-  const bool waitingChanged = former.waitingInteractive != demand.waitingInteractive ||
-                              former.waitingBatch != demand.waitingBatch;
-  if (waitingChanged || runningChangedMuch(former.running, demand.running)) {
-    return Due::now;
+  const protocol::Demand& previous = found->second.demand;
+  const bool waitingChanged = previous.waitingInteractive != demand.waitingInteractive ||
+                              previous.waitingBatch != demand.waitingBatch;
+  if (waitingChanged || runningChangedMuch(previous.running, demand.running)) {
+    return Urgency::now;
   }
-  if (former.running == demand.running && former.lastArrival == demand.lastArrival) {
-    return Due::never;
+  if (previous.running == demand.running && previous.lastArrival == demand.lastArrival) {
+    return Urgency::never;
   }
-  return now >= found->second.at + kSlowInterval ? Due::now : Due::later;
+  return now >= found->second.at + kLowPriorityInterval ? Urgency::now : Urgency::later;
 }
 
 std::vector<protocol::Demand> DemandReporter::allActive(
     base::TimePoint now, const std::map<std::string, Target>& targets, const RequestQueue& queue,
     const ClusterView& view) {
   std::vector<protocol::Demand> entries;
-  reported_.clear();
-  changed_.clear();
+  reportedEntries_.clear();
+  changedTargets_.clear();
   for (const auto& [name, target] : targets) {
-    const std::optional<protocol::Demand> demand = entry(now, name, target, queue, view);
+    const std::optional<protocol::Demand> demand = makeEntry(now, name, target, queue, view);
     if (!demand.has_value() || !isActive(*demand)) {
       continue;
     }
     entries.push_back(*demand);
-    reported_[name] = Reported{*demand, now};
-    if (waits(*demand)) {
-      changed_.insert(name);
+    reportedEntries_[name] = Reported{*demand, now};
+    if (hasWaiting(*demand)) {
+      changedTargets_.insert(name);
     }
   }
   return entries;
@@ -118,42 +119,42 @@
     base::TimePoint now, const std::map<std::string, Target>& targets, const RequestQueue& queue,
     const ClusterView& view) {
   std::vector<protocol::Demand> entries;
-  std::set<std::string> undecided;
-  for (const std::string& name : changed_) {
+  std::set<std::string> remaining;
+  for (const std::string& name : changedTargets_) {
     const auto target = targets.find(name);
     const std::optional<protocol::Demand> demand =
-        target == targets.end() ? std::nullopt : entry(now, name, target->second, queue, view);
+        target == targets.end() ? std::nullopt : makeEntry(now, name, target->second, queue, view);
     if (!demand.has_value()) {
       // No longer served: a complete report removes the entry at the leader.
-      completeAt_ = reported_.contains(name) ? now : completeAt_;
+      nextCompleteAt_ = reportedEntries_.contains(name) ? now : nextCompleteAt_;
       continue;
     }
-    const Due due = dueOf(now, name, *demand);
-    if (due == Due::later || waits(*demand)) {
-      undecided.insert(name);
+    const Urgency urgency = urgencyOf(now, name, *demand);
+    if (urgency == Urgency::later || hasWaiting(*demand)) {
+      remaining.insert(name);
     }
-    if (due == Due::now) {
+    if (urgency == Urgency::now) {
       entries.push_back(*demand);
-      reported_[name] = Reported{*demand, now};
+      reportedEntries_[name] = Reported{*demand, now};
     }
   }
-  changed_ = std::move(undecided);
+  changedTargets_ = std::move(remaining);
   return entries;
 }
 
-void DemandReporter::addFormerVersions(const ClusterView& view, const RequestTable& requests,
-                                       bool complete, std::vector<protocol::Demand>& entries) {
+void DemandReporter::addPreviousVersions(const ClusterView& view, const RequestTable& requests,
+                                         bool complete, std::vector<protocol::Demand>& entries) {
   std::map<resource::Servable, std::uint32_t> waiting = requests.waitingByPinnedServable();
   std::erase_if(waiting, [&](const auto& entry) {
     return view.resolve(targetName(entry.first)) == entry.first;
   });
-  std::map<resource::Servable, std::uint32_t> told = waiting;
-  for (const auto& [servable, count] : reportedFormer_) {
-    told.try_emplace(servable, 0);  // Reports that none is waiting any more.
+  std::map<resource::Servable, std::uint32_t> reportable = waiting;
+  for (const auto& [servable, count] : reportedPrevious_) {
+    reportable.try_emplace(servable, 0);  // Reports that none is waiting any more.
   }
-  for (const auto& [servable, count] : told) {
-    const auto known = reportedFormer_.find(servable);
-    const bool same = known != reportedFormer_.end() && known->second == count;
+  for (const auto& [servable, count] : reportable) {
+    const auto known = reportedPrevious_.find(servable);
+    const bool same = known != reportedPrevious_.end() && known->second == count;
     if (same && !complete) {
       continue;
     }
@@ -164,34 +165,34 @@
     demand.waitingInteractive = count;
     entries.push_back(std::move(demand));
   }
-  reportedFormer_ = std::move(waiting);
+  reportedPrevious_ = std::move(waiting);
 }
 
 void DemandReporter::tick(base::TimePoint now, const std::map<std::string, Target>& targets,
                           const RequestQueue& queue, const ClusterView& view,
                           const RequestTable& requests, EngineSelector& selector,
                           std::vector<RouterAction>& actions) {
-  if (now < nextAt_) {
+  if (now < nextReportAt_) {
     return;
   }
-  nextAt_ = now + options_.demandInterval;
+  nextReportAt_ = now + options_.demandInterval;
   if (!leader_.has_value()) {
     return;
   }
   protocol::DemandReport report;
   report.router = id_;
-  report.complete = now >= completeAt_;
+  report.complete = now >= nextCompleteAt_;
   report.entries = report.complete ? allActive(now, targets, queue, view)
                                    : changedEntries(now, targets, queue, view);
-  addFormerVersions(view, requests, report.complete, report.entries);
-  const bool news = !report.entries.empty() || report.complete || selector.hasFailures();
-  if (!news && now < sentAt_ + kAliveInterval) {
+  addPreviousVersions(view, requests, report.complete, report.entries);
+  const bool hasContent = !report.entries.empty() || report.complete || selector.hasFailures();
+  if (!hasContent && now < lastSentAt_ + kHeartbeatInterval) {
     return;
   }
   if (report.complete) {
-    completeAt_ = now + kCompleteInterval;
+    nextCompleteAt_ = now + kCompleteInterval;
   }
-  sentAt_ = now;
+  lastSentAt_ = now;
   report.outcomes = selector.takeOutcomes();
   report.sequence = ++sequence_;
   actions.emplace_back(SendToController{leader_->connection, std::move(report)});
--- a/src/routing/demand_reporter.h
+++ b/src/routing/demand_reporter.h
@@ -31,13 +31,13 @@
  public:
   DemandReporter(const RouterOptions& options, base::RouterId id) : options_(options), id_(id) {}
 
-  void changed(const std::string& target) { changed_.insert(target); }
+  void markChanged(const std::string& target) { changedTargets_.insert(target); }
   /// Requests a report within milliseconds, because a target got its first waiting request without
   /// a ready replica. Requests of the next few milliseconds share the report.
-  void urgent(base::TimePoint now);
+  void requestUrgentReport(base::TimePoint now);
   /// @param leader the session with the leader, if it is known and connected.
-  void leaderChanged(base::TimePoint now, const std::optional<LeaderSession>& leader);
-  base::TimePoint nextWakeup() const { return nextAt_; }
+  void setLeader(base::TimePoint now, const std::optional<LeaderSession>& leader);
+  base::TimePoint nextWakeup() const { return nextReportAt_; }
 
   /// Sends a report to the leader if one is due.
   /// @param selector provides the outcomes, which are taken once they are sent.
@@ -51,13 +51,14 @@
     protocol::Demand demand;
     base::TimePoint at;
   };
-  enum class Due : std::uint8_t { now, later, never };
+  enum class Urgency : std::uint8_t { now, later, never };
 
-  std::optional<protocol::Demand> entry(base::TimePoint now, const std::string& name,
-                                        const Target& target, const RequestQueue& queue,
-                                        const ClusterView& view) const;
+  std::optional<protocol::Demand> makeEntry(base::TimePoint now, const std::string& name,
+                                            const Target& target, const RequestQueue& queue,
+                                            const ClusterView& view) const;
   /// @return when the difference from the last reported entry has to be reported.
-  Due dueOf(base::TimePoint now, const std::string& name, const protocol::Demand& demand) const;
+  Urgency urgencyOf(base::TimePoint now, const std::string& name,
+                    const protocol::Demand& demand) const;
   std::vector<protocol::Demand> allActive(base::TimePoint now,
                                           const std::map<std::string, Target>& targets,
                                           const RequestQueue& queue, const ClusterView& view);
@@ -67,22 +68,22 @@
 
   /// Adds the streams that have to continue with a previous version, where the leader's count
   /// differs.
-  void addFormerVersions(const ClusterView& view, const RequestTable& requests, bool complete,
-                         std::vector<protocol::Demand>& entries);
+  void addPreviousVersions(const ClusterView& view, const RequestTable& requests, bool complete,
+                           std::vector<protocol::Demand>& entries);
 
   const RouterOptions& options_;
   base::RouterId id_;
   std::optional<LeaderSession> leader_;
   /// Targets whose entry may differ from the leader's. Those with waiting requests stay here,
   /// because the entry of a refused request expires without any event.
-  std::set<std::string> changed_;
-  std::map<std::string, Reported> reported_;
+  std::set<std::string> changedTargets_;
+  std::map<std::string, Reported> reportedEntries_;
   /// Number of streams that wait for a servable of a previous version, as last reported.
-  std::map<resource::Servable, std::uint32_t> reportedFormer_;
+  std::map<resource::Servable, std::uint32_t> reportedPrevious_;
   std::uint64_t sequence_ = 0;
-  base::TimePoint nextAt_;
-  base::TimePoint completeAt_;
-  base::TimePoint sentAt_;
+  base::TimePoint nextReportAt_;
+  base::TimePoint nextCompleteAt_;
+  base::TimePoint lastSentAt_;
 };
 
 }  // namespace walnut::routing
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void Dispatcher::run() {
-  if (!core_.dispatchWhenConfirmed.empty() && core_.mayServe()) {
+  if (!core_.dispatchWhenConfirmed.empty() && core_.canServe()) {
     core_.dispatchDue.merge(core_.dispatchWhenConfirmed);
     core_.dispatchWhenConfirmed.clear();
   }
@@ -60,8 +60,8 @@
   }
   if (waiting && !target.coldSince.has_value()) {
     target.coldSince = core_.now;
-    core_.demand.changed(name);
-    core_.demand.urgent(core_.now);
+    core_.demand.markChanged(name);
+    core_.demand.requestUrgentReport(core_.now);
   }
   if (!waiting && core_.now >= target.refusedDemandUntil) {
     target.coldSince.reset();  // Demand is no longer reported, so the load may be cancelled.
@@ -89,7 +89,7 @@
     return;
   }
   updateReadiness(name, core_.view.hasReadyReplica(*servable));
-  if (!core_.mayServe()) {
+  if (!core_.canServe()) {
     // An engine may have started to leave, or the model may have changed, without this router being
     // informed.
     core_.dispatchWhenConfirmed.insert(name);
@@ -209,7 +209,7 @@
   const bool isStillReady = std::any_of(ready.begin(), ready.end(), [&](const ReadyReplica& one) {
     return one.id == request.attempt->replica;
   });
-  if (isStillReady && !core_.selector.isLeaving(request.attempt->engine) && core_.mayServe()) {
+  if (isStillReady && !core_.selector.isLeaving(request.attempt->engine) && core_.canServe()) {
     start(request);
     return;
   }
--- a/src/routing/freshness_tracker.cpp
+++ b/src/routing/freshness_tracker.cpp
@@ -56,7 +56,7 @@
 
 void FreshnessTracker::viewChanged(const ClusterView& view) {
   std::uint64_t reached = 0;
-  behindSince_.reset();
+  laggingSince_.reset();
   for (const auto& [sequence, round] : rounds_) {
     const std::optional<consensus::LogIndex> index = bound(round, view);
     if (!index.has_value()) {
@@ -64,9 +64,9 @@
     }
     if (*index <= view.index()) {
       reached = sequence;
-      behindSince_.reset();
-    } else if (!behindSince_.has_value()) {
-      behindSince_ = round.sentAt;
+      laggingSince_.reset();
+    } else if (!laggingSince_.has_value()) {
+      laggingSince_ = round.sentAt;
     }
   }
   if (reached == 0) {
@@ -80,10 +80,10 @@
   return confirmedAt_.has_value() && now - *confirmedAt_ < limit_;
 }
 
-base::TimePoint FreshnessTracker::lapsesAt() const {
+base::TimePoint FreshnessTracker::expiresAt() const {
   return confirmedAt_.has_value() ? *confirmedAt_ + limit_ : base::kNever;
 }
 
-std::optional<base::TimePoint> FreshnessTracker::behindSince() const { return behindSince_; }
+std::optional<base::TimePoint> FreshnessTracker::laggingSince() const { return laggingSince_; }
 
 }  // namespace walnut::routing
--- a/src/routing/freshness_tracker.h
+++ b/src/routing/freshness_tracker.h
@@ -35,9 +35,9 @@
   /// @return the send time of the newest round whose bound the view has reached.
   std::optional<base::TimePoint> confirmedAt() const { return confirmedAt_; }
   /// @return when the confirmation expires; kNever without one.
-  base::TimePoint lapsesAt() const;
+  base::TimePoint expiresAt() const;
   /// @return the send time of the oldest round whose bound the view has not reached.
-  std::optional<base::TimePoint> behindSince() const;
+  std::optional<base::TimePoint> laggingSince() const;
 
  private:
   struct Answer {
@@ -56,7 +56,7 @@
   /// Rounds newer than the confirmed one, by sequence; at most kMaxRounds.
   std::map<std::uint64_t, Round> rounds_;
   std::optional<base::TimePoint> confirmedAt_;
-  std::optional<base::TimePoint> behindSince_;
+  std::optional<base::TimePoint> laggingSince_;
 };
 
 }  // namespace walnut::routing
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -8,13 +8,13 @@
   request.moveAt = waitsWithExportedState(request) ? core_.now : base::kNever;
   core_.requests.arm(request);
   core_.queue.push(request);
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
   core_.dispatchDue.insert(request.caller.target);
 }
 
 void RequestLifecycle::dequeue(Request& request) {
   core_.queue.remove(request);
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
 }
 
 void RequestLifecycle::reserveSlot(Request& request, const ReadyReplica& replica,
@@ -24,7 +24,7 @@
   core_.selector.takeSlot(replica.engine, replica.id);
   core_.requests.attach(request, replica.engine);
   ++core_.targets[request.caller.target].running;
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
 }
 
 void RequestLifecycle::releaseAttempt(Request& request, AttemptEnd end) {
@@ -44,7 +44,7 @@
   core_.selector.freeSlot(attempt.engine, attempt.replica);
   core_.requests.detach(request, attempt.engine);
   --core_.targets[request.caller.target].running;
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
   core_.dispatchDue.insert(request.caller.target);
   request.attempt.reset();
   setNeedsReplica(request, false);
@@ -95,7 +95,7 @@
   } else {
     --target.needingReplica;
   }
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
 }
 
 void RequestLifecycle::remove(Request& request, AttemptEnd end) {
--- a/src/routing/router_core.h
+++ b/src/routing/router_core.h
@@ -37,7 +37,7 @@
 
   /// @return whether the configuration may be used now. Before the first confirmation no
   /// configuration is known, so nothing is served whatever the policy.
-  bool mayServe() const {
+  bool canServe() const {
     const bool everConfirmed = freshness.confirmedAt().has_value();
     const bool serveStale = options.whenUnconfirmed == UnconfirmedPolicy::serve && everConfirmed;
     return serveStale || freshness.confirmed(now);
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -88,17 +88,17 @@
 }
 
 void RouterImpl::handle(const ControllerConnected& input) {
-  core_.sessions.connected(core_.now, input, core_.view.index());
-  noteLeader();
+  core_.sessions.handleConnected(core_.now, input, core_.view.index());
+  updateLeader();
   probeAt_ = core_.now;
 }
 
 void RouterImpl::handle(const ControllerDisconnected& input) {
-  const auto gone = core_.sessions.disconnected(core_.now, input.endpoint);
+  const auto gone = core_.sessions.handleDisconnected(core_.now, input.endpoint);
   if (gone.has_value()) {
-    core_.view.forgetPages(*gone);
+    core_.view.dropPages(*gone);
   }
-  noteLeader();
+  updateLeader();
 }
 
 void RouterImpl::handle(const ControllerMessage& input) {
@@ -111,7 +111,7 @@
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::WatchDelta& delta) {
   const consensus::LogIndex before = core_.view.index();
-  applied(core_.view.applyDelta(delta), before);
+  handleApplyResult(core_.view.applyDelta(delta), before);
 }
 
 void RouterImpl::receive(protocol::ConnectionId connection,
@@ -121,13 +121,13 @@
   if (result == ApplyResult::applied) {
     watchProgressAt_ = core_.now;
   }
-  applied(result, before);
+  handleApplyResult(result, before);
 }
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::ProbeReply& reply) {
   core_.freshness.reply(reply, core_.view);
   core_.sessions.probeReply(reply);
-  noteLeader();
+  updateLeader();
 }
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::ClaimReply& reply) {
@@ -137,7 +137,7 @@
   }
 }
 
-void RouterImpl::applied(ApplyResult result, consensus::LogIndex indexBefore) {
+void RouterImpl::handleApplyResult(ApplyResult result, consensus::LogIndex indexBefore) {
   if (result == ApplyResult::gap &&
       core_.now - core_.sessions.watchedSince() >= core_.options.probeInterval) {
     core_.sessions.renewWatch(core_.now, core_.view.index());
@@ -155,7 +155,7 @@
   const ViewChange change = core_.view.takeChange();
   if (change.membership) {
     core_.sessions.membershipChanged(core_.now, core_.view.membership());
-    noteLeader();
+    updateLeader();
   }
   core_.freshness.viewChanged(core_.view);
   std::set<base::EngineId> engines = change.engines;
@@ -179,13 +179,13 @@
   }
 }
 
-void RouterImpl::noteLeader() {
+void RouterImpl::updateLeader() {
   const std::optional<LeaderSession> leader = core_.sessions.leader();
   if (leader == leader_) {
     return;
   }
   leader_ = leader;
-  core_.demand.leaderChanged(core_.now, leader);
+  core_.demand.setLeader(core_.now, leader);
   if (leader.has_value()) {
     claims_.resendToLeader();
   }
@@ -199,7 +199,7 @@
   }
   for (Request* request = core_.requests.due(core_.now); request != nullptr;
        request = core_.requests.due(core_.now)) {
-    requestDue(*request);
+    handleRequestTimer(*request);
   }
 }
 
@@ -211,18 +211,18 @@
 
 void RouterImpl::checkWatch() {
   const base::TimePoint since = std::max(core_.sessions.watchedSince(), watchProgressAt_);
-  const std::optional<base::TimePoint> behind = core_.freshness.behindSince();
-  const bool lags = behind.has_value() && core_.now - std::max(since, *behind) >=
-                                              kWatchLagProbes * core_.options.probeInterval;
-  const bool silent = core_.view.index() == 0 &&
-                      core_.now - since >= kFirstStateProbes * core_.options.probeInterval;
-  if (lags || silent) {
-    core_.sessions.watchIsBehind(core_.now, core_.view.index());
-    noteLeader();
+  const std::optional<base::TimePoint> behind = core_.freshness.laggingSince();
+  const bool isLagging = behind.has_value() && core_.now - std::max(since, *behind) >=
+                                                   kWatchLagProbes * core_.options.probeInterval;
+  const bool isUnresponsive = core_.view.index() == 0 &&
+                              core_.now - since >= kFirstStateProbes * core_.options.probeInterval;
+  if (isLagging || isUnresponsive) {
+    core_.sessions.replaceLaggingWatch(core_.now, core_.view.index());
+    updateLeader();
   }
 }
 
-void RouterImpl::requestDue(Request& request) {
+void RouterImpl::handleRequestTimer(Request& request) {
   if (request.deadline <= core_.now) {
     claims_.removeRequest(request);
     const bool retryable = RequestLifecycle::canBeResent(request);
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -47,11 +47,11 @@
   template <class Other>
   void receive(protocol::ConnectionId, const Other&) {}
 
-  void applied(ApplyResult result, consensus::LogIndex indexBefore);
+  void handleApplyResult(ApplyResult result, consensus::LogIndex indexBefore);
   void propagateViewChange();
-  void noteLeader();
+  void updateLeader();
   void runTimers();
-  void requestDue(Request& request);
+  void handleRequestTimer(Request& request);
   void probe();
   void checkWatch();
 
--- a/src/routing/state_parker.cpp
+++ b/src/routing/state_parker.cpp
@@ -65,7 +65,7 @@
     return;
   }
   // A request that finds a replica leaves the queue before this step ends.
-  const bool resumesNow = core_.mayServe() && replicaReady(request);
+  const bool resumesNow = core_.canServe() && replicaReady(request);
   if (core_.now < mustLeaveAt(holder) || resumesNow) {
     lifecycle_.setMoveAt(request, core_.now + kLookAgainAfter);
     return;
@@ -242,14 +242,14 @@
   const bool anyHolder = std::any_of(
       engines.begin(), engines.end(),
       [&](const resource::Engine* engine) { return engine->id != source && mayHold(*engine); });
-  return core_.mayServe() && anyHolder;
+  return core_.canServe() && anyHolder;
 }
 
 /// Chooses an engine of the source's machine class if there is one: pools consist of classes, so
 /// the copy stays where the model may run. The choice is random, so that the streams of one machine
 /// spread over the engines.
 std::optional<StateHolder> StateParker::chooseHolder(const Move& move) {
-  if (!core_.mayServe()) {
+  if (!core_.canServe()) {
     return std::nullopt;
   }
   const resource::Engine* source = core_.view.engine(move.source.engine);
--- a/src/routing/view_contents.cpp
+++ b/src/routing/view_contents.cpp
@@ -22,7 +22,7 @@
 }
 
 /// @return the record without its accelerators, which only placement needs.
-resource::Engine withoutPlacement(const resource::Engine& engine) {
+resource::Engine withoutPlacementFields(const resource::Engine& engine) {
   resource::Engine kept;
   kept.id = engine.id;
   kept.endpoint = engine.endpoint;
@@ -40,7 +40,7 @@
   std::visit([&](const auto& body) { apply(body, touched); }, change);
 }
 
-void ViewContents::touchAll(ViewChange& touched) const {
+void ViewContents::markAllChanged(ViewChange& touched) const {
   touched.names = true;
   for (const auto& [name, model] : models_) {
     touched.targets.insert(name);
@@ -75,7 +75,7 @@
 }
 
 void ViewContents::touchReplica(const Replica& replica, ViewChange& touched) {
-  dropReady(listOf(replica));
+  invalidateReady(servableReplicasOf(replica));
   touched.targets.insert(targetOf(replica));
   touched.engines.insert(replica.engine->first);
 }
@@ -95,7 +95,7 @@
       touched.targets.insert(name);
       break;
     case Kind::drain:
-      drained_.insert(base::EngineId{name});
+      drainedEngines_.insert(base::EngineId{name});
       touchEngine(base::EngineId{name}, touched);
       break;
     case Kind::modelVersion:
@@ -120,7 +120,7 @@
       touched.targets.insert(name);
       break;
     case Kind::drain:
-      drained_.erase(base::EngineId{name});
+      drainedEngines_.erase(base::EngineId{name});
       touchEngine(base::EngineId{name}, touched);
       break;
     case Kind::modelVersion:
@@ -133,7 +133,7 @@
 }
 
 void ViewContents::apply(const protocol::EngineChanged& change, ViewChange& touched) {
-  engines_[change.engine.id].known = withoutPlacement(change.engine);
+  engines_[change.engine.id].known = withoutPlacementFields(change.engine);
   touchEngine(change.engine.id, touched);
 }
 
@@ -142,7 +142,7 @@
   const auto found = engines_.find(change.engine);
   if (found != engines_.end()) {
     found->second.known.reset();
-    dropUnused(change.engine);
+    eraseIfUnused(change.engine);
   }
 }
 
@@ -159,7 +159,7 @@
   replica.engine = &*engines_.try_emplace(changed.engine).first;
   replica.incarnation = changed.incarnation;
   replica.ready = changed.state == resource::ReplicaState::ready;
-  insert(listOf(replica).ids, changed.id);
+  insert(servableReplicasOf(replica).ids, changed.id);
   insert(replica.engine->second.replicas, changed.id);
   touchReplica(replica, touched);
 }
@@ -185,12 +185,12 @@
   const Replica replica = found->second;
   touchReplica(replica, touched);
   replicas_.erase(found);
-  erase(listOf(replica).ids, id);
+  erase(servableReplicasOf(replica).ids, id);
   erase(replica.engine->second.replicas, id);
-  dropUnused(replica);
+  eraseIfUnused(replica);
 }
 
-void ViewContents::dropUnused(const Replica& replica) {
+void ViewContents::eraseIfUnused(const Replica& replica) {
   VersionReplicas& version = replica.version->second;
   if (replica.adapter != nullptr && replica.adapter->second.ids.empty()) {
     version.adapters.erase(version.adapters.find(replica.adapter->first));
@@ -198,17 +198,17 @@
   if (version.own.ids.empty() && version.adapters.empty()) {
     servables_.erase(servables_.find(replica.version->first));
   }
-  dropUnused(replica.engine->first);
+  eraseIfUnused(replica.engine->first);
 }
 
-void ViewContents::dropUnused(const base::EngineId& engine) {
+void ViewContents::eraseIfUnused(const base::EngineId& engine) {
   const auto found = engines_.find(engine);
   if (!found->second.known.has_value() && found->second.replicas.empty()) {
     engines_.erase(found);
   }
 }
 
-ViewContents::ServableReplicas& ViewContents::listOf(const Replica& replica) {
+ViewContents::ServableReplicas& ViewContents::servableReplicasOf(const Replica& replica) {
   return replica.adapter == nullptr ? replica.version->second.own : replica.adapter->second;
 }
 
@@ -262,26 +262,26 @@
   }
   if (!replicas->ready.has_value()) {
     replicas->ready = findReady(replicas->ids);
-    keptReady_ += replicas->ready->size();
+    cachedReady_ += replicas->ready->size();
   }
   return *replicas->ready;
 }
 
-void ViewContents::dropReady(const ServableReplicas& replicas) {
+void ViewContents::invalidateReady(const ServableReplicas& replicas) {
   if (replicas.ready.has_value()) {
-    keptReady_ -= replicas.ready->size();
+    cachedReady_ -= replicas.ready->size();
     replicas.ready.reset();
   }
 }
 
-void ViewContents::boundReadyLists() {
-  if (keptReady_ <= kMaxKeptReady) {
+void ViewContents::limitReadyCache() {
+  if (cachedReady_ <= kMaxCachedReady) {
     return;
   }
   for (const auto& [version, replicas] : servables_) {
-    dropReady(replicas.own);
+    invalidateReady(replicas.own);
     for (const auto& [adapter, ofAdapter] : replicas.adapters) {
-      dropReady(ofAdapter);
+      invalidateReady(ofAdapter);
     }
   }
 }
@@ -293,7 +293,7 @@
 }
 
 bool ViewContents::takesWork(const resource::Engine& engine) const {
-  return engine.status == resource::EngineStatus::live && !drained_.contains(engine.id);
+  return engine.status == resource::EngineStatus::live && !drainedEngines_.contains(engine.id);
 }
 
 std::vector<ReadyReplica> ViewContents::findReady(const ReplicaIds& ids) const {
--- a/src/routing/view_contents.h
+++ b/src/routing/view_contents.h
@@ -52,7 +52,7 @@
   /// @param touched receives what has changed.
   void apply(const protocol::Change& change, ViewChange& touched);
   /// Adds all names and engines to `touched`.
-  void touchAll(ViewChange& touched) const;
+  void markAllChanged(ViewChange& touched) const;
 
   const consensus::Membership& membership() const { return membership_; }
   consensus::LogIndex membershipIndex() const { return membershipIndex_; }
@@ -67,15 +67,15 @@
   std::vector<ServedName> servedNames() const;
   /// @}
 
-  /// Drops all cached lists of ready replicas if they hold more than kMaxKeptReady. References that
-  /// readyReplicas returned become invalid.
-  void boundReadyLists();
+  /// Drops all cached lists of ready replicas if they hold more than kMaxCachedReady. References
+  /// that readyReplicas returned become invalid.
+  void limitReadyCache();
 
  private:
   /// Limit over all cached lists, at about 112 bytes a replica: less than 1 MB. The lists of the
   /// models that are requested every second fit; building the list of a hundred replicas takes
   /// about 10 us.
-  static constexpr std::size_t kMaxKeptReady = 8192;
+  static constexpr std::size_t kMaxCachedReady = 8192;
 
   struct Model {
     std::string activeVersion;
@@ -128,25 +128,25 @@
   void touchModel(const std::string& model, ViewChange& touched) const;
   void touchEngine(const base::EngineId& engine, ViewChange& touched);
   void touchReplica(const Replica& replica, ViewChange& touched);
-  void dropReady(const ServableReplicas& replicas);
+  void invalidateReady(const ServableReplicas& replicas);
   void removeReplica(base::ReplicaId id, ViewChange& touched);
-  void dropUnused(const Replica& replica);
-  void dropUnused(const base::EngineId& engine);
+  void eraseIfUnused(const Replica& replica);
+  void eraseIfUnused(const base::EngineId& engine);
   const ServableReplicas* findServable(const resource::Servable& servable) const;
   bool takesWork(const Replica& replica) const;
   std::vector<ReadyReplica> findReady(const ReplicaIds& ids) const;
 
-  static ServableReplicas& listOf(const Replica& replica);
+  static ServableReplicas& servableReplicasOf(const Replica& replica);
   static const std::string& targetOf(const Replica& replica);
 
   std::map<std::string, Model> models_;
   std::map<std::string, Adapter> adapters_;
   std::map<std::string, std::string> modelOfVersion_;
-  std::set<base::EngineId> drained_;
+  std::set<base::EngineId> drainedEngines_;
   ServableTable servables_;
   EngineTable engines_;
   std::unordered_map<base::ReplicaId, Replica> replicas_;
-  mutable std::size_t keptReady_ = 0;  ///< Number of replicas in all cached lists.
+  mutable std::size_t cachedReady_ = 0;  ///< Number of replicas in all cached lists.
   consensus::Membership membership_;
   consensus::LogIndex membershipIndex_ = 0;
 };
--- a/test/routing/demand_reporter_test.cpp
+++ b/test/routing/demand_reporter_test.cpp
@@ -22,7 +22,7 @@
  public:
   Fixture() {
     view_.applyPage({1}, protocol::WatchSnapshotPage{1, 0, true, {modelChange("m", "v1")}});
-    reporter_.leaderChanged(now_, kLeader);
+    reporter_.setLeader(now_, kLeader);
     CHECK_TRUE(run().value().complete);
   }
 
@@ -51,15 +51,15 @@
   void setRunning(std::uint32_t running) {
     targets_["m"].running = running;
     targets_["m"].lastArrival = now_;
-    reporter_.changed("m");
+    reporter_.markChanged("m");
   }
   void setNeedingReplica(std::uint32_t needingReplica) {
     targets_["m"].needingReplica = needingReplica;
-    reporter_.changed("m");
+    reporter_.markChanged("m");
   }
   void refuseUntil(base::TimePoint until) {
     targets_["m"].refusedDemandUntil = until;
-    reporter_.changed("m");
+    reporter_.markChanged("m");
   }
   /// Adds a stream that began with `version` and waits for an engine from now on.
   Request& streamWaits(const std::string& version) {
@@ -174,7 +174,7 @@
   Fixture fixture;
   fixture.setRunning(3);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
-  fixture.reporter().leaderChanged(fixture.now(), LeaderSession{kLeader.connection, 2});
+  fixture.reporter().setLeader(fixture.now(), LeaderSession{kLeader.connection, 2});
   const auto report = fixture.run();
   CHECK_TRUE(report.value().complete);
   CHECK_EQUAL(3U, report.value().entries.at(0).running);
@@ -186,7 +186,7 @@
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
   protocol::ResourceDeleted deletion{{resource::Kind::model, "m"}};
   fixture.view().applyDelta({1, 2, {deletion}});
-  fixture.reporter().changed("m");
+  fixture.reporter().markChanged("m");
   bool dropped = false;
   for (int number = 0; number < 2; ++number) {
     const auto report = fixture.run();
