--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -33,7 +33,7 @@
 };
 
 /// Whether this process stores the exported state of a request.
-enum class Keeping : std::uint8_t {
+enum class LocalCopy : std::uint8_t {
   no,
   fetching,  ///< The fetch is in progress; counts as stored.
   kept,
@@ -45,10 +45,10 @@
   std::optional<std::uint32_t> offset;  ///< Tokens below it arrive on the source's stream. Absent
                                         ///< until the engine has answered the export.
   engine::KvSource kvSource;
-  StateHolder holder;                  ///< Where the state is: the source or an engine with a copy.
-  std::optional<StateHolder> asked;    ///< Asked to hold a copy; no definite answer yet.
-  std::set<base::EngineId> refusedBy;  ///< Engines that refused to hold a copy.
-  Keeping keeping = Keeping::no;
+  StateHolder holder;  ///< Where the state is: the source or an engine with a copy.
+  std::optional<StateHolder> pendingHolder;  ///< Asked to hold a copy; no definite answer yet.
+  std::set<base::EngineId> refusingEngines;  ///< Engines that refused to hold a copy.
+  LocalCopy localCopy = LocalCopy::no;
   bool sourceFailed = false;  ///< The source's stream broke before the engine answered.
   bool detached = false;      ///< All tokens of the source arrived: it may continue elsewhere.
 };
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -57,8 +57,9 @@
     const Move& move = *request.move;
     const engine::CancelRequest cancel{request.caller.request, move.source.id};
     core_.actions.emplace_back(CancelAttempt{move.holder.engine, move.holder.endpoint, cancel});
-    if (move.asked.has_value()) {
-      core_.actions.emplace_back(CancelAttempt{move.asked->engine, move.asked->endpoint, cancel});
+    if (move.pendingHolder.has_value()) {
+      core_.actions.emplace_back(
+          CancelAttempt{move.pendingHolder->engine, move.pendingHolder->endpoint, cancel});
     }
   }
   request.move.reset();
@@ -66,11 +67,11 @@
 
 void RequestLifecycle::dropKeptState(Request& request) {
   Move& move = *request.move;
-  if (move.keeping == Keeping::no) {
+  if (move.localCopy == LocalCopy::no) {
     return;
   }
-  move.keeping = Keeping::no;
-  --core_.keptStates;
+  move.localCopy = LocalCopy::no;
+  --core_.storedStates;
   core_.actions.emplace_back(DropState{request.caller.request, move.source.id});
 }
 
--- a/src/routing/router_core.h
+++ b/src/routing/router_core.h
@@ -60,7 +60,7 @@
   EngineSelector selector;
   RetryBudget retryBudget;
   std::uint64_t nextAttempt = 1;
-  std::uint32_t keptStates = 0;  ///< Requests whose state this process stores or fetches.
+  std::uint32_t storedStates = 0;  ///< Requests whose state this process stores or fetches.
   /// Targets whose queues are to be dispatched before the step ends.
   std::set<std::string> dispatchDue;
   /// Targets to be dispatched at a given time without any event; see Target::dispatchAt.
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -77,11 +77,11 @@
 
 void RouterImpl::handle(const EngineEvent& input) { attempts_.handleEvent(input.event); }
 
-void RouterImpl::handle(const EngineExported& input) { mover_.exported(input); }
+void RouterImpl::handle(const EngineExported& input) { mover_.handleExported(input); }
 
-void RouterImpl::handle(const EngineHeld& input) { parker_.held(input); }
+void RouterImpl::handle(const EngineHeld& input) { parker_.handleHeld(input); }
 
-void RouterImpl::handle(const StateKept& input) { parker_.kept(input); }
+void RouterImpl::handle(const StateKept& input) { parker_.handleKept(input); }
 
 void RouterImpl::handle(const CacheEventsRead& input) {
   core_.selector.applyCacheEvents(input.engine, input.events);
@@ -233,9 +233,9 @@
   }
   if (request.phaseDeadline > core_.now) {
     if (RequestLifecycle::waitsWithExportedState(request)) {
-      parker_.consider(request);
+      parker_.checkHolder(request);
     } else {
-      mover_.consider(request);
+      mover_.reconsider(request);
     }
     return;
   }
@@ -244,10 +244,10 @@
       dispatcher_.handleClaimTimeout(request);
       break;
     case RequestState::exporting:
-      mover_.exportTimedOut(request);
+      mover_.handleExportTimeout(request);
       break;
     case RequestState::parking:
-      parker_.parkingDue(request);
+      parker_.handleParkingTimer(request);
       break;
     case RequestState::starting:
     case RequestState::streaming:
--- a/src/routing/state_parker.cpp
+++ b/src/routing/state_parker.cpp
@@ -15,7 +15,7 @@
 constexpr base::Duration kReclaimSlack = std::chrono::seconds(2);
 
 /// @return whether it is certain that the engine holds nothing.
-bool isClearRefusal(ErrorCode code) {
+bool isDefiniteRefusal(ErrorCode code) {
   switch (code) {
     case ErrorCode::engineOverloaded:
     case ErrorCode::engineLeaving:
@@ -27,7 +27,7 @@
   }
 }
 
-StateHolder holderOf(const resource::Engine& engine) {
+StateHolder makeHolder(const resource::Engine& engine) {
   return {engine.id, engine.endpoint, engine.incarnation};
 }
 
@@ -39,7 +39,7 @@
          (engine->reclaimAt.has_value() && *engine->reclaimAt + kReclaimSlack <= core_.now);
 }
 
-base::TimePoint StateParker::mustLeaveAt(const StateHolder& holder) const {
+base::TimePoint StateParker::moveDeadline(const StateHolder& holder) const {
   const resource::Engine& engine = *core_.view.engine(holder.engine);
   if (engine.reclaimAt.has_value()) {
     return *engine.reclaimAt - kReclaimMargin;
@@ -55,8 +55,8 @@
   });
 }
 
-void StateParker::consider(Request& request) {
-  if (endIfInVain(request)) {
+void StateParker::checkHolder(Request& request) {
+  if (endIfUnservable(request)) {
     return;
   }
   const StateHolder& holder = request.move->holder;
@@ -66,8 +66,8 @@
   }
   // A request that finds a replica leaves the queue before this step ends.
   const bool resumesNow = core_.canServe() && replicaReady(request);
-  if (core_.now < mustLeaveAt(holder) || resumesNow) {
-    lifecycle_.setMoveAt(request, core_.now + kLookAgainAfter);
+  if (core_.now < moveDeadline(holder) || resumesNow) {
+    lifecycle_.setMoveAt(request, core_.now + kRecheckInterval);
     return;
   }
   park(request);
@@ -78,13 +78,13 @@
   const std::optional<StateHolder> holder = chooseHolder(move);
   if (holder.has_value()) {
     beginParking(request);
-    ask(request, *holder);
-  } else if (mayKeep()) {
+    requestHold(request, *holder);
+  } else if (canStoreLocally()) {
     beginParking(request);
-    keepHere(request);
+    storeLocally(request);
   } else {
-    move.refusedBy.clear();  // They may have free capacity by then.
-    lifecycle_.setMoveAt(request, core_.now + kLookAgainAfter);
+    move.refusingEngines.clear();  // They may have free capacity by then.
+    lifecycle_.setMoveAt(request, core_.now + kRecheckInterval);
   }
 }
 
@@ -95,19 +95,19 @@
   lifecycle_.setNeedsReplica(request, true);
 }
 
-void StateParker::keepHere(Request& request) {
+void StateParker::storeLocally(Request& request) {
   Move& move = *request.move;
-  move.keeping = Keeping::fetching;
-  ++core_.keptStates;
+  move.localCopy = LocalCopy::fetching;
+  ++core_.storedStates;
   core_.actions.emplace_back(KeepState{request.caller.request, move.source.id, move.kvSource});
   lifecycle_.setPhaseDeadline(request, core_.now + kHoldTimeout);
 }
 
-void StateParker::kept(const StateKept& event) {
+void StateParker::handleKept(const StateKept& event) {
   Request* request = core_.requests.find(event.request);
   const bool awaited = request != nullptr && request->machine.state() == RequestState::parking &&
                        request->move->source.id == event.attempt &&
-                       request->move->keeping == Keeping::fetching;
+                       request->move->localCopy == LocalCopy::fetching;
   if (!awaited) {
     return;
   }
@@ -116,25 +116,25 @@
     returnToQueue(*request);
     return;
   }
-  request->move->keeping = Keeping::kept;
-  putAway(*request);
+  request->move->localCopy = LocalCopy::kept;
+  uploadState(*request);
 }
 
-void StateParker::putAway(Request& request) {
+void StateParker::uploadState(Request& request) {
   const std::optional<StateHolder> holder = chooseHolder(*request.move);
   if (holder.has_value()) {
-    ask(request, *holder);
+    requestHold(request, *holder);
     return;
   }
-  request.move->refusedBy.clear();
-  lifecycle_.setPhaseDeadline(request, core_.now + kLookAgainAfter);
+  request.move->refusingEngines.clear();
+  lifecycle_.setPhaseDeadline(request, core_.now + kRecheckInterval);
 }
 
-void StateParker::ask(Request& request, const StateHolder& holder) {
+void StateParker::requestHold(Request& request, const StateHolder& holder) {
   Move& move = *request.move;
-  move.asked = holder;
+  move.pendingHolder = holder;
   const base::RequestId& id = request.caller.request;
-  if (move.keeping == Keeping::kept) {
+  if (move.localCopy == LocalCopy::kept) {
     core_.actions.emplace_back(PutState{holder.engine, holder.endpoint, {id, move.source.id}});
   } else {
     core_.actions.emplace_back(
@@ -143,59 +143,59 @@
   lifecycle_.setPhaseDeadline(request, core_.now + kHoldTimeout);
 }
 
-void StateParker::parkingDue(Request& request) {
-  if (endIfInVain(request)) {
+void StateParker::handleParkingTimer(Request& request) {
+  if (endIfUnservable(request)) {
     return;
   }
   Move& move = *request.move;
-  if (move.keeping == Keeping::fetching) {
+  if (move.localCopy == LocalCopy::fetching) {
     lifecycle_.dropKeptState(request);
     returnToQueue(request);
-  } else if (!move.asked.has_value()) {
-    putAway(request);
-  } else if (isGone(*move.asked)) {
-    refused(request, {ErrorCode::connectFailed, "", "the engine is gone"});
+  } else if (!move.pendingHolder.has_value()) {
+    uploadState(request);
+  } else if (isGone(*move.pendingHolder)) {
+    handleHoldRefusal(request, {ErrorCode::connectFailed, "", "the engine is gone"});
   } else {
-    ask(request, *move.asked);
+    requestHold(request, *move.pendingHolder);
   }
 }
 
-void StateParker::held(const EngineHeld& event) {
+void StateParker::handleHeld(const EngineHeld& event) {
   Request* request = core_.requests.find(event.request);
   const bool awaited = request != nullptr && request->machine.state() == RequestState::parking &&
                        request->move->source.id == event.attempt &&
-                       request->move->asked.has_value() &&
-                       request->move->asked->engine == event.engine;
+                       request->move->pendingHolder.has_value() &&
+                       request->move->pendingHolder->engine == event.engine;
   if (!awaited) {
     return;
   }
   if (event.result.has_error()) {
     const base::Error& error = event.result.error();
-    if (isClearRefusal(error.code)) {
-      refused(*request, error);
+    if (isDefiniteRefusal(error.code)) {
+      handleHoldRefusal(*request, error);
     } else {
-      lifecycle_.setPhaseDeadline(*request, core_.now + kLookAgainAfter);
+      lifecycle_.setPhaseDeadline(*request, core_.now + kRecheckInterval);
     }
     return;
   }
   Move& move = *request->move;
-  move.holder = *move.asked;
+  move.holder = *move.pendingHolder;
   move.kvSource = {move.holder.endpoint, event.result.value().handle};
-  move.asked.reset();
-  move.refusedBy.clear();
+  move.pendingHolder.reset();
+  move.refusingEngines.clear();
   lifecycle_.dropKeptState(*request);
   returnToQueue(*request);
 }
 
-void StateParker::refused(Request& request, const base::Error& error) {
+void StateParker::handleHoldRefusal(Request& request, const base::Error& error) {
   Move& move = *request.move;
   if (error.code == ErrorCode::engineLeaving) {
-    core_.selector.markLeaving(move.asked->engine, move.asked->incarnation);
+    core_.selector.markLeaving(move.pendingHolder->engine, move.pendingHolder->incarnation);
   }
-  move.refusedBy.insert(move.asked->engine);
-  move.asked.reset();
-  if (move.keeping == Keeping::kept) {
-    putAway(request);
+  move.refusingEngines.insert(move.pendingHolder->engine);
+  move.pendingHolder.reset();
+  if (move.localCopy == LocalCopy::kept) {
+    uploadState(request);
   } else {
     returnToQueue(request);
   }
@@ -211,15 +211,15 @@
   lifecycle_.refuse(request, {{ErrorCode::streamBroken, "", detail}});
 }
 
-bool StateParker::endIfInVain(Request& request) {
-  if (mayBecomeReady(request.caller.target, *request.pinned)) {
+bool StateParker::endIfUnservable(Request& request) {
+  if (canBecomeReady(request.caller.target, *request.pinned)) {
     return false;
   }
   giveUp(request, "the version that the stream began with is no longer declared");
   return true;
 }
 
-bool StateParker::mayBecomeReady(const std::string& target,
+bool StateParker::canBecomeReady(const std::string& target,
                                  const resource::Servable& servable) const {
   if (core_.view.hasReadyReplica(servable)) {
     return true;
@@ -228,20 +228,20 @@
   return current.has_value() && (current == servable || core_.view.declaresVersion(servable));
 }
 
-bool StateParker::mayHold(const resource::Engine& engine) const {
-  const ReadyReplica anyPlace{{}, engine.id, engine.endpoint, engine.zone};
+bool StateParker::canHold(const resource::Engine& engine) const {
+  const ReadyReplica anyReplica{{}, engine.id, engine.endpoint, engine.zone};
   return engine.incarnation != base::Incarnation{} && !engine.reclaimAt.has_value() &&
-         core_.selector.selectable(core_.now, anyPlace);
+         core_.selector.selectable(core_.now, anyReplica);
 }
 
-bool StateParker::mayPark(const base::EngineId& source) const {
-  if (mayKeep()) {
+bool StateParker::canPark(const base::EngineId& source) const {
+  if (canStoreLocally()) {
     return true;
   }
   const std::vector<const resource::Engine*> engines = core_.view.enginesThatTakeWork();
   const bool anyHolder = std::any_of(
       engines.begin(), engines.end(),
-      [&](const resource::Engine* engine) { return engine->id != source && mayHold(*engine); });
+      [&](const resource::Engine* engine) { return engine->id != source && canHold(*engine); });
   return core_.canServe() && anyHolder;
 }
 
@@ -256,10 +256,10 @@
   std::vector<const resource::Engine*> sameClass;
   std::vector<const resource::Engine*> others;
   for (const resource::Engine* engine : core_.view.enginesThatTakeWork()) {
-    const bool hasIt =
+    const bool isCurrentHolder =
         engine->id == move.holder.engine && engine->incarnation == move.holder.incarnation;
-    const bool excluded = hasIt || move.refusedBy.contains(engine->id);
-    if (!excluded && mayHold(*engine)) {
+    const bool excluded = isCurrentHolder || move.refusingEngines.contains(engine->id);
+    if (!excluded && canHold(*engine)) {
       const bool same = source != nullptr && source->machineClass == engine->machineClass;
       (same ? sameClass : others).push_back(engine);
     }
@@ -268,7 +268,7 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  return holderOf(*candidates[core_.random.uniform(0, candidates.size() - 1)]);
+  return makeHolder(*candidates[core_.random.uniform(0, candidates.size() - 1)]);
 }
 
 }  // namespace walnut::routing
--- a/src/routing/state_parker.h
+++ b/src/routing/state_parker.h
@@ -14,7 +14,7 @@
 inline constexpr base::Duration kReclaimMargin = std::chrono::seconds(2);
 /// Interval at which a stream without another replica looks for one, or for an engine that can hold
 /// its state, in addition to changes of the view.
-inline constexpr base::Duration kLookAgainAfter = std::chrono::milliseconds(200);
+inline constexpr base::Duration kRecheckInterval = std::chrono::milliseconds(200);
 
 /// Preserves the exported state of requests that must not be repeated: after the export, such a
 /// request can only continue from that state. While it waits for a replica, the engine that has the
@@ -31,46 +31,46 @@
 
   /// @return whether an engine other than `source` may be asked to hold a state now, or this
   /// process may store it.
-  bool mayPark(const base::EngineId& source) const;
+  bool canPark(const base::EngineId& source) const;
   /// @return whether a replica of the servable may still become ready: one is ready, or the target
   /// is served and refers to the servable or the servable's version is still declared. The cell
   /// places no undeclared version and no deleted target.
-  bool mayBecomeReady(const std::string& target, const resource::Servable& servable) const;
+  bool canBecomeReady(const std::string& target, const resource::Servable& servable) const;
   /// Handles the due moveAt of a request that waits with its state.
-  void consider(Request& request);
+  void checkHolder(Request& request);
   /// Handles an engine's answer to HoldState or PutState.
-  void held(const EngineHeld& event);
+  void handleHeld(const EngineHeld& event);
   /// Handles the driver's answer to KeepState.
-  void kept(const StateKept& event);
+  void handleKept(const StateKept& event);
   /// Handles the time-out of state `parking`: no definite answer arrived, or the stored state waits
   /// for an engine.
-  void parkingDue(Request& request);
+  void handleParkingTimer(Request& request);
 
  private:
   bool isGone(const StateHolder& holder) const;
   /// @return when the state has to be moved away from its holder; kNever if the holder stays.
-  base::TimePoint mustLeaveAt(const StateHolder& holder) const;
+  base::TimePoint moveDeadline(const StateHolder& holder) const;
   bool replicaReady(const Request& request) const;
   void park(Request& request);
   /// Asks the engine to hold the state. Asking again is safe, because an engine that already holds
   /// the copy confirms it.
-  void ask(Request& request, const StateHolder& holder);
-  bool mayKeep() const { return core_.keptStates < core_.options.maxKeptStates; }
-  void keepHere(Request& request);
+  void requestHold(Request& request, const StateHolder& holder);
+  bool canStoreLocally() const { return core_.storedStates < core_.options.maxKeptStates; }
+  void storeLocally(Request& request);
   /// Uploads the stored state to an engine if one can hold it.
-  void putAway(Request& request);
+  void uploadState(Request& request);
   void beginParking(Request& request);
-  void refused(Request& request, const base::Error& error);
+  void handleHoldRefusal(Request& request, const base::Error& error);
   void returnToQueue(Request& request);
   /// Ends the request with a broken stream.
   /// @param detail why the stream can't continue.
   void giveUp(Request& request, const char* detail);
   /// Ends the request if no replica can become ready for it.
   /// @return whether it ended the request.
-  bool endIfInVain(Request& request);
+  bool endIfUnservable(Request& request);
   /// @return whether the engine may hold a state.
   /// @param engine an engine that takes work.
-  bool mayHold(const resource::Engine& engine) const;
+  bool canHold(const resource::Engine& engine) const;
   std::optional<StateHolder> chooseHolder(const Move& move);
 
   RouterCore& core_;
--- a/src/routing/stream_mover.cpp
+++ b/src/routing/stream_mover.cpp
@@ -16,7 +16,7 @@
 
 void StreamMover::engineChanged(const base::EngineId& engine) {
   for (Request* request : core_.requests.onEngine(engine)) {
-    consider(*request);
+    reconsider(*request);
   }
 }
 
@@ -42,13 +42,13 @@
   return core_.view.resolve(request.caller.target).has_value();
 }
 
-bool StreamMover::mayBeParked(const Request& request) const {
+bool StreamMover::canBeParked(const Request& request) const {
   return !request.caller.repeatable &&
-         parker_.mayBecomeReady(request.caller.target, request.attempt->servable) &&
-         parker_.mayPark(request.attempt->engine);
+         parker_.canBecomeReady(request.caller.target, request.attempt->servable) &&
+         parker_.canPark(request.attempt->engine);
 }
 
-void StreamMover::consider(Request& request) {
+void StreamMover::reconsider(Request& request) {
   if (request.machine.state() != RequestState::streaming) {
     lifecycle_.setMoveAt(request, base::kNever);
     return;
@@ -61,23 +61,23 @@
     return;
   }
   const base::Duration margin = request.caller.repeatable ? kRecomputeMargin : kReclaimMargin;
-  const base::TimePoint mustLeaveAt = *engine->reclaimAt - margin;
-  const base::TimePoint soon = core_.now + kLookAgainAfter;
-  if (core_.now + remainingTime(request) <= mustLeaveAt) {
+  const base::TimePoint moveDeadline = *engine->reclaimAt - margin;
+  const base::TimePoint soon = core_.now + kRecheckInterval;
+  if (core_.now + remainingTime(request) <= moveDeadline) {
     // The estimate may be wrong: check again after half of the time.
     lifecycle_.setNeedsReplica(request, false);
-    lifecycle_.setMoveAt(request, std::max(soon, core_.now + (mustLeaveAt - core_.now) / 2));
+    lifecycle_.setMoveAt(request, std::max(soon, core_.now + (moveDeadline - core_.now) / 2));
     return;
   }
-  const bool lastMoment = core_.now >= mustLeaveAt;
-  const bool exportsNow = otherReplicaReady(request) || (lastMoment && mayBeParked(request));
+  const bool lastMoment = core_.now >= moveDeadline;
+  const bool exportsNow = otherReplicaReady(request) || (lastMoment && canBeParked(request));
   if (!request.cannotMove && exportsNow) {
     beginExport(request);
     return;
   }
   lifecycle_.setNeedsReplica(request, true);
   if (!lastMoment) {
-    lifecycle_.setMoveAt(request, std::min(soon, mustLeaveAt));
+    lifecycle_.setMoveAt(request, std::min(soon, moveDeadline));
   } else if (request.caller.repeatable && isServed(request)) {
     attempts_.recompute(request);
   } else {
@@ -100,7 +100,7 @@
   lifecycle_.setPhaseDeadline(request, core_.now + core_.options.tokenTimeout);
 }
 
-void StreamMover::exported(const EngineExported& event) {
+void StreamMover::handleExported(const EngineExported& event) {
   Request* request = core_.requests.find(event.request);
   const bool awaited = request != nullptr && request->machine.state() == RequestState::exporting &&
                        request->attempt->id == event.attempt && !request->move->offset.has_value();
@@ -108,7 +108,7 @@
     return;
   }
   if (event.result.has_error()) {
-    exportRefused(*request, event.result.error());
+    handleExportRefusal(*request, event.result.error());
     return;
   }
   const engine::ExportReply& reply = event.result.value();
@@ -125,7 +125,7 @@
   }
 }
 
-void StreamMover::exportRefused(Request& request, const base::Error& error) {
+void StreamMover::handleExportRefusal(Request& request, const base::Error& error) {
   if (request.move->sourceFailed) {
     attempts_.fail(request, {error, true, AttemptEnd::cancelled});
     return;
@@ -134,10 +134,10 @@
   request.cannotMove = true;
   request.machine.enter(RequestState::streaming);
   lifecycle_.setPhaseDeadline(request, core_.now + core_.options.tokenTimeout);
-  consider(request);
+  reconsider(request);
 }
 
-void StreamMover::exportTimedOut(Request& request) {
+void StreamMover::handleExportTimeout(Request& request) {
   attempts_.fail(request,
                  {{ErrorCode::timedOut, "", "no export in time"}, true, AttemptEnd::cancelled});
 }
--- a/src/routing/stream_mover.h
+++ b/src/routing/stream_mover.h
@@ -24,10 +24,10 @@
   /// Reconsiders the streams of an engine whose record changed.
   void engineChanged(const base::EngineId& engine);
   /// Decides whether the request moves now: its moveAt is due, or its engine changed.
-  void consider(Request& request);
-  void exported(const EngineExported& event);
+  void reconsider(Request& request);
+  void handleExported(const EngineExported& event);
   /// Handles the time-out of state `exporting`.
-  void exportTimedOut(Request& request);
+  void handleExportTimeout(Request& request);
 
  private:
   base::Duration remainingTime(const Request& request) const;
@@ -35,9 +35,9 @@
   /// @return whether the request's target may still be loaded anywhere.
   bool isServed(const Request& request) const;
   /// @return whether the request's exported state could wait for a replica at another engine.
-  bool mayBeParked(const Request& request) const;
+  bool canBeParked(const Request& request) const;
   void beginExport(Request& request);
-  void exportRefused(Request& request, const base::Error& error);
+  void handleExportRefusal(Request& request, const base::Error& error);
 
   RouterCore& core_;
   RequestLifecycle& lifecycle_;
