--- a/test/routing/breaker_test.cpp
+++ b/test/routing/breaker_test.cpp
@@ -15,27 +15,27 @@
 
 namespace {
 
-constexpr base::Duration kLong = 30s;
+constexpr base::Duration kLongDeadline = 30s;
 
 /// Fails attempts until the engine's breaker is open.
-void openBreaker(RouterHarness& harness) {
+void openCircuitBreaker(RouterHarness& harness) {
   harness.request("failing-1", 1s);
   harness.request("failing-2", 1s);
-  for (std::size_t next = 0; next < harness.started.size(); ++next) {
-    harness.fail(harness.started[next], base::ErrorCode::connectFailed,
+  for (std::size_t next = 0; next < harness.starts.size(); ++next) {
+    harness.fail(harness.starts[next], base::ErrorCode::connectFailed,
                  engine::GenerateFailed::Started::no);
     if (harness.refusals.size() < 2) {
       harness.advance(200ms);
     }
   }
-  harness.started.clear();
+  harness.starts.clear();
 }
 
 }  // namespace
 
 TEST_GROUP(BreakerTest){};
 
-TEST(BreakerTest, engineIsTriedAgainWhateverEndedTheTrial) {
+TEST(BreakerTest, engineIsRetriedHoweverTheTrialEnded) {
   struct Case {
     const char* name;
     std::function<void(RouterHarness&)> endTrial;
@@ -43,29 +43,29 @@
   const Case cases[] = {
       {"the deadline of its request", [](RouterHarness& harness) { harness.advance(2s); }},
       {"its caller disconnected",
-       [](RouterHarness& harness) { harness.give(CallerGone{{"trial"}}); }},
+       [](RouterHarness& harness) { harness.deliver(CallerGone{{"trial"}}); }},
       {"the engine is overloaded",
        [](RouterHarness& harness) {
-         harness.fail(harness.started.back(), base::ErrorCode::engineOverloaded,
+         harness.fail(harness.starts.back(), base::ErrorCode::engineOverloaded,
                       engine::GenerateFailed::Started::no);
        }},
       {"the engine fails",
        [](RouterHarness& harness) {
-         harness.fail(harness.started.back(), base::ErrorCode::connectionLost,
+         harness.fail(harness.starts.back(), base::ErrorCode::connectionLost,
                       engine::GenerateFailed::Started::unknown);
        }},
   };
   for (const Case& test : cases) {
     RouterHarness harness;
-    openBreaker(harness);
+    openCircuitBreaker(harness);
     harness.advance(3s);
     harness.request("trial", 1500ms);
-    CHECK_EQUAL_TEXT(1U, harness.started.size(), test.name);
+    CHECK_EQUAL_TEXT(1U, harness.starts.size(), test.name);
     test.endTrial(harness);
     harness.advance(5s);
-    const std::size_t before = harness.started.size();
-    harness.request("after", kLong);
+    const std::size_t before = harness.starts.size();
+    harness.request("after", kLongDeadline);
     harness.advance(5s);
-    CHECK_TRUE_TEXT(harness.started.size() > before, test.name);
+    CHECK_TRUE_TEXT(harness.starts.size() > before, test.name);
   }
 }
--- a/test/routing/cluster_view_test.cpp
+++ b/test/routing/cluster_view_test.cpp
@@ -90,7 +90,7 @@
   }
 }
 
-TEST(ClusterView, newWholeStateReplacesTheReadyReplicas) {
+TEST(ClusterView, snapshotReplacesTheReadyReplicas) {
   ClusterView view = makeView();
   CHECK_EQUAL(1U, view.readyReplicas(kServable).size());
   view.applyPage({1}, protocol::WatchSnapshotPage{9, 0, true, {modelChange("m", "v1")}});
@@ -106,7 +106,7 @@
   CHECK_EQUAL(1U, view.readyReplicas(kServable).size());
 }
 
-TEST(ClusterView, drainHoldsWhetherItsEngineComesBeforeOrAfter) {
+TEST(ClusterView, drainAppliesWhetherItsEngineIsAddedBeforeOrAfterIt) {
   resource::Resource drain;
   drain.key = {resource::Kind::drain, engineRecord(0).id.value};
   drain.spec = resource::DrainSpec{};
@@ -121,7 +121,7 @@
   CHECK_EQUAL(1U, view.readyReplicas(kServable).size());
 }
 
-TEST(ClusterView, wholeStateTakesEffectWithItsLastPage) {
+TEST(ClusterView, snapshotTakesEffectWithItsLastPage) {
   ClusterView view = makeView();
   view.takeChange();
   const protocol::WatchSnapshotPage first{9, 0, false, {modelChange("n", "v1")}};
@@ -146,7 +146,7 @@
   CHECK_TRUE(change.engines.contains(engineRecord(1).id));
 }
 
-TEST(ClusterView, pagesOfABrokenWholeStateAreDropped) {
+TEST(ClusterView, pagesOfAnIncompleteSnapshotAreDropped) {
   ClusterView view = makeView();
   view.applyPage({1}, protocol::WatchSnapshotPage{9, 0, false, {modelChange("n", "v1")}});
   CHECK_TRUE(view.applyPage({1}, protocol::WatchSnapshotPage{9, 2, true, {}}) == ApplyResult::gap);
@@ -170,7 +170,7 @@
 namespace {
 
 /// Reference model of readiness over plain records, without any incrementally updated lists.
-struct PlainState {
+struct ReferenceModel {
   std::map<base::EngineId, resource::Engine> engines;
   std::map<base::ReplicaId, resource::Replica> replicas;
   std::set<base::EngineId> drained;
@@ -198,35 +198,35 @@
   return kServables;
 }
 
-protocol::Change randomEngineChange(base::Random& random, PlainState& plain) {
+protocol::Change randomEngineChange(base::Random& random, ReferenceModel& reference) {
   resource::Engine engine = engineRecord(random.uniform(0, kRandomEngines - 1));
   switch (random.uniform(0, 3)) {
     case 0:
-      plain.engines.erase(engine.id);
+      reference.engines.erase(engine.id);
       return protocol::EngineRemoved{engine.id};
     case 1: {
       resource::Resource drain;
       drain.key = {resource::Kind::drain, engine.id.value};
       drain.spec = resource::DrainSpec{};
-      if (plain.drained.erase(engine.id) > 0) {
+      if (reference.drained.erase(engine.id) > 0) {
         return protocol::ResourceDeleted{drain.key};
       }
-      plain.drained.insert(engine.id);
+      reference.drained.insert(engine.id);
       return protocol::ResourceChanged{drain};
     }
     default:
       engine.incarnation = {random.uniform(1, 2)};
       engine.status = random.uniform(0, 3) == 0 ? resource::EngineStatus::leaving
                                                 : resource::EngineStatus::live;
-      plain.engines[engine.id] = engine;
+      reference.engines[engine.id] = engine;
       return protocol::EngineChanged{engine};
   }
 }
 
-protocol::Change randomReplicaChange(base::Random& random, PlainState& plain) {
+protocol::Change randomReplicaChange(base::Random& random, ReferenceModel& reference) {
   const base::ReplicaId id{random.uniform(1, kRandomReplicas)};
   if (random.uniform(0, 3) == 0) {
-    plain.replicas.erase(id);
+    reference.replicas.erase(id);
     return protocol::ReplicaRemoved{id};
   }
   resource::Replica replica = replicaRecord(id.value, "m", random.uniform(0, kRandomEngines - 1));
@@ -234,29 +234,29 @@
   replica.incarnation = {random.uniform(1, 2)};
   replica.state =
       random.uniform(0, 2) == 0 ? resource::ReplicaState::unloading : resource::ReplicaState::ready;
-  plain.replicas[id] = replica;
+  reference.replicas[id] = replica;
   return protocol::ReplicaChanged{replica};
 }
 
 }  // namespace
 
-TEST(ClusterView, readyReplicasFollowTheRuleThroughAnyChanges) {
+TEST(ClusterView, readyReplicasMatchTheReferenceModelUnderRandomChanges) {
   constexpr std::uint64_t kChanges = 20'000;
   base::Random random(20261202);
-  PlainState plain;
+  ReferenceModel reference;
   ClusterView view;
   for (std::uint64_t index = 0; index < kChanges; ++index) {
     const bool ofEngine = random.uniform(0, 2) == 0;
     const protocol::Change change =
-        ofEngine ? randomEngineChange(random, plain) : randomReplicaChange(random, plain);
+        ofEngine ? randomEngineChange(random, reference) : randomReplicaChange(random, reference);
     view.applyDelta({index, index + 1, {change}});
     for (const resource::Servable& servable : randomServables()) {
       std::vector<base::ReplicaId> ids;
       for (const ReadyReplica& replica : view.readyReplicas(servable)) {
         ids.push_back(replica.id);
-        CHECK_TRUE(plain.replicas.at(replica.id).engine == replica.engine);
+        CHECK_TRUE(reference.replicas.at(replica.id).engine == replica.engine);
       }
-      CHECK_TRUE(plain.ready(servable) == ids);
+      CHECK_TRUE(reference.ready(servable) == ids);
     }
   }
 }
--- a/test/routing/demand_reporter_test.cpp
+++ b/test/routing/demand_reporter_test.cpp
@@ -23,12 +23,12 @@
   Fixture() {
     view_.applyPage({1}, protocol::WatchSnapshotPage{1, 0, true, {modelChange("m", "v1")}});
     reporter_.setLeader(now_, kLeader);
-    CHECK_TRUE(run().value().complete);
+    CHECK_TRUE(runInterval().value().complete);
   }
 
   /// Advances the time to the next interval.
   /// @return the report sent then.
-  std::optional<protocol::DemandReport> run() {
+  std::optional<protocol::DemandReport> runInterval() {
     now_ += kStep;
     std::vector<RouterAction> actions;
     reporter_.tick(now_, targets_, queue_, view_, requests_, selector_, actions);
@@ -41,7 +41,7 @@
   std::vector<protocol::Demand> entriesWithin(int intervals) {
     std::vector<protocol::Demand> entries;
     for (int number = 0; number < intervals; ++number) {
-      const auto report = run();
+      const auto report = runInterval();
       if (report.has_value()) {
         entries.insert(entries.end(), report->entries.begin(), report->entries.end());
       }
@@ -62,7 +62,7 @@
     reporter_.markChanged("m");
   }
   /// Adds a stream that began with `version` and waits for an engine from now on.
-  Request& streamWaits(const std::string& version) {
+  Request& addWaitingStream(const std::string& version) {
     CallerRequest caller;
     caller.request = {"stream"};
     caller.target = "m";
@@ -92,49 +92,49 @@
 
 TEST_GROUP(DemandReporter){};
 
-TEST(DemandReporter, idleRouterOnlyTellsThatItIsAlive) {
+TEST(DemandReporter, idleRouterSendsOnlyHeartbeats) {
   Fixture fixture;
   int reports = 0;
   for (int number = 0; number < 50; ++number) {
-    const auto report = fixture.run();
+    const auto report = fixture.runInterval();
     reports += report.has_value() ? 1 : 0;
     CHECK_TRUE(!report.has_value() || (report->entries.empty() && !report->complete));
   }
   CHECK_EQUAL(10, reports);
 }
 
-TEST(DemandReporter, whatBecameOfAttemptsIsToldOnceAndFailuresSoon) {
+TEST(DemandReporter, attemptOutcomesAreReportedOnceAndFailuresPromptly) {
   Fixture fixture;
   fixture.entriesWithin(5);
   fixture.selector().recordSuccess({"e1"});
   fixture.selector().recordFailure(fixture.now(), {"e2"});
-  const auto report = fixture.run();
+  const auto report = fixture.runInterval();
   CHECK_EQUAL(2U, report.value().outcomes.size());
   CHECK_EQUAL(1U, report.value().outcomes[0].answered);
   CHECK_EQUAL(1U, report.value().outcomes[1].failed);
   fixture.selector().recordSuccess({"e1"});
-  CHECK_FALSE(fixture.run().has_value());
+  CHECK_FALSE(fixture.runInterval().has_value());
 }
 
-TEST(DemandReporter, waitingIsReportedInTheNextInterval) {
+TEST(DemandReporter, waitingStreamIsReportedInTheNextInterval) {
   Fixture fixture;
   fixture.setNeedingReplica(1);
-  const auto report = fixture.run();
+  const auto report = fixture.runInterval();
   CHECK_EQUAL(1U, report.value().entries.at(0).waitingInteractive);
   fixture.setNeedingReplica(0);
-  CHECK_EQUAL(0U, fixture.run().value().entries.at(0).waitingInteractive);
+  CHECK_EQUAL(0U, fixture.runInterval().value().entries.at(0).waitingInteractive);
 }
 
-TEST(DemandReporter, waitingThatDoesNotChangeIsReportedOnce) {
+TEST(DemandReporter, unchangedWaitingCountIsReportedOnce) {
   Fixture fixture;
   fixture.setNeedingReplica(1);
   CHECK_EQUAL(1U, fixture.entriesWithin(100).size());
 }
 
-TEST(DemandReporter, refusedDemandEndsByTimeAlone) {
+TEST(DemandReporter, refusedDemandExpiresWithoutAnyEvent) {
   Fixture fixture;
   fixture.refuseUntil(fixture.now() + 5 * kStep);
-  CHECK_EQUAL(1U, fixture.run().value().entries.at(0).waitingInteractive);
+  CHECK_EQUAL(1U, fixture.runInterval().value().entries.at(0).waitingInteractive);
   const auto later = fixture.entriesWithin(10);
   CHECK_EQUAL(1U, later.size());
   CHECK_EQUAL(0U, later.front().waitingInteractive);
@@ -157,7 +157,7 @@
   fixture.setRunning(20);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
   fixture.setRunning(30);
-  CHECK_EQUAL(30U, fixture.run().value().entries.at(0).running);
+  CHECK_EQUAL(30U, fixture.runInterval().value().entries.at(0).running);
 }
 
 TEST(DemandReporter, endOfTheLastRequestIsReportedInTime) {
@@ -170,17 +170,17 @@
   CHECK_EQUAL(0U, entries.front().running);
 }
 
-TEST(DemandReporter, newTermOfTheLeaderGetsEverything) {
+TEST(DemandReporter, newLeaderTermGetsACompleteReport) {
   Fixture fixture;
   fixture.setRunning(3);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
   fixture.reporter().setLeader(fixture.now(), LeaderSession{kLeader.connection, 2});
-  const auto report = fixture.run();
+  const auto report = fixture.runInterval();
   CHECK_TRUE(report.value().complete);
   CHECK_EQUAL(3U, report.value().entries.at(0).running);
 }
 
-TEST(DemandReporter, targetThatIsNoLongerServedIsTakenFromTheLeader) {
+TEST(DemandReporter, targetThatIsNoLongerServedIsRemovedAtTheLeader) {
   Fixture fixture;
   fixture.setRunning(3);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
@@ -189,15 +189,15 @@
   fixture.reporter().markChanged("m");
   bool dropped = false;
   for (int number = 0; number < 2; ++number) {
-    const auto report = fixture.run();
+    const auto report = fixture.runInterval();
     dropped = dropped || (report.has_value() && report->complete && report->entries.empty());
   }
   CHECK_TRUE(dropped);
 }
 
-TEST(DemandReporter, aStreamOfAFormerVersionIsToldWithItsVersionUntilItGoesOn) {
+TEST(DemandReporter, streamOfAPreviousVersionIsReportedWithItsVersionUntilItResumes) {
   Fixture fixture;
-  Request& stream = fixture.streamWaits("v0");
+  Request& stream = fixture.addWaitingStream("v0");
   const std::vector<protocol::Demand> begun = fixture.entriesWithin(3);
   CHECK_EQUAL(1U, begun.size());
   STRCMP_EQUAL("v0", begun[0].version.c_str());
@@ -209,8 +209,8 @@
   CHECK_EQUAL(0U, ended[0].waitingInteractive);
 }
 
-TEST(DemandReporter, aStreamOfTheActiveVersionIsNotToldApart) {
+TEST(DemandReporter, streamOfTheActiveVersionIsNotReportedSeparately) {
   Fixture fixture;
-  fixture.streamWaits("v1");
+  fixture.addWaitingStream("v1");
   CHECK_EQUAL(0U, fixture.entriesWithin(3).size());
 }
--- a/test/routing/engine_lost_test.cpp
+++ b/test/routing/engine_lost_test.cpp
@@ -30,20 +30,20 @@
   explicit LostEngine(RouterHarness& harness) : harness_(harness) {}
 
   /// Advances the time and fails all attempts that are started meanwhile.
-  void answerFor(base::Duration duration, const Answer& answer) {
+  void failAttemptsFor(base::Duration duration, const Answer& answer) {
     const base::TimePoint end = harness_.now() + duration;
-    answerAll(answer);
+    failNewAttempts(answer);
     while (harness_.now() < end) {
       harness_.advance(5ms);
-      answerAll(answer);
+      failNewAttempts(answer);
     }
   }
   std::size_t attempts() const { return next_; }
 
  private:
-  void answerAll(const Answer& answer) {
-    for (; next_ < harness_.started.size(); ++next_) {
-      harness_.fail(harness_.started[next_], answer.code, answer.started);
+  void failNewAttempts(const Answer& answer) {
+    for (; next_ < harness_.starts.size(); ++next_) {
+      harness_.fail(harness_.starts[next_], answer.code, answer.started);
     }
   }
 
@@ -52,8 +52,8 @@
 };
 
 void loadElsewhere(RouterHarness& harness) {
-  harness.change(protocol::EngineChanged{engineRecord(1)});
-  harness.change(protocol::ReplicaChanged{replicaRecord(2, "model", 1)});
+  harness.commitChange(protocol::EngineChanged{engineRecord(1)});
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(2, "model", 1)});
 }
 
 }  // namespace
@@ -63,23 +63,24 @@
 TEST(EngineLostTest, aBrokenStreamWaitsForAnotherReplica) {
   RouterHarness harness;
   harness.request("stream", kDeadline);
-  const StartAttempt first = harness.started.front();
-  harness.give(EngineEvent{
+  const StartAttempt first = harness.starts.front();
+  harness.deliver(EngineEvent{
       engine::GenerateToken{first.generate.request, first.generate.attempt, 0, "token"}});
   harness.fail(first, base::ErrorCode::connectionLost, engine::GenerateFailed::Started::unknown);
   LostEngine lost(harness);
-  harness.started.clear();
-  lost.answerFor(kOutage, {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
+  harness.starts.clear();
+  lost.failAttemptsFor(kOutage,
+                       {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
   CHECK_EQUAL(0U, harness.refusals.size());
-  const std::size_t before = harness.started.size();
+  const std::size_t before = harness.starts.size();
   loadElsewhere(harness);
   harness.advance(2s);
-  CHECK_EQUAL(before + 1, harness.started.size());
-  CHECK(harness.started.back().engine == engineRecord(1).id);
-  CHECK_EQUAL(1U, harness.started.back().generate.offset);
+  CHECK_EQUAL(before + 1, harness.starts.size());
+  CHECK(harness.starts.back().engine == engineRecord(1).id);
+  CHECK_EQUAL(1U, harness.starts.back().generate.offset);
 }
 
-TEST(EngineLostTest, attemptsThatNoEngineTookAreNotCounted) {
+TEST(EngineLostTest, attemptsWithoutAReplicaAreNotCounted) {
   struct Case {
     const char* name;
     base::ErrorCode code;
@@ -95,26 +96,27 @@
     if (test.repeatable) {
       harness.request("waiting", kDeadline);
     } else {
-      harness.requestOnce("waiting", kDeadline, 4);
+      harness.requestNonRepeatable("waiting", kDeadline, 4);
     }
     LostEngine lost(harness);
-    lost.answerFor(kOutage, {test.code, engine::GenerateFailed::Started::no});
+    lost.failAttemptsFor(kOutage, {test.code, engine::GenerateFailed::Started::no});
     CHECK_EQUAL_TEXT(0U, harness.refusals.size(), test.name);
-    const std::size_t before = harness.started.size();
+    const std::size_t before = harness.starts.size();
     loadElsewhere(harness);
     harness.advance(2s);
-    CHECK_EQUAL_TEXT(before + 1, harness.started.size(), test.name);
+    CHECK_EQUAL_TEXT(before + 1, harness.starts.size(), test.name);
   }
 }
 
-TEST(EngineLostTest, manyRequestsCostALostEngineFewAttempts) {
+TEST(EngineLostTest, lostEngineGetsFewAttemptsFromManyRequests) {
   RouterHarness harness;
   constexpr int kRequests = 40;
   for (int number = 0; number < kRequests; ++number) {
     harness.request("request-" + std::to_string(number), kDeadline);
   }
   LostEngine lost(harness);
-  lost.answerFor(kOutage, {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
+  lost.failAttemptsFor(kOutage,
+                       {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
   CHECK_EQUAL(0U, harness.refusals.size());
   // The limit is the sum of the attempts in progress when the engine was lost, those that took
   // slots before the breaker opened, and one trial each time the breaker allows it, at the earliest
@@ -128,18 +130,18 @@
   RouterHarness harness;
   harness.request("breaking", kDeadline);
   LostEngine lost(harness);
-  lost.answerFor(kOutage,
-                 {base::ErrorCode::connectionLost, engine::GenerateFailed::Started::unknown});
+  lost.failAttemptsFor(kOutage,
+                       {base::ErrorCode::connectionLost, engine::GenerateFailed::Started::unknown});
   CHECK_EQUAL(RouterOptions{}.maxAttempts, lost.attempts());
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK(harness.refusals.front().error.code == base::ErrorCode::engineFailed);
 }
 
-TEST(EngineLostTest, isRefusedAtItsDeadlineIfNoReplicaComes) {
+TEST(EngineLostTest, requestIsRefusedAtItsDeadlineIfNoReplicaBecomesReady) {
   RouterHarness harness;
   harness.request("waiting", 5s);
   LostEngine lost(harness);
-  lost.answerFor(6s, {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
+  lost.failAttemptsFor(6s, {base::ErrorCode::connectFailed, engine::GenerateFailed::Started::no});
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK(harness.refusals.front().error.code == base::ErrorCode::deadlineExceeded);
   CHECK(harness.refusals.front().executed == Executed::no);
--- a/test/routing/load_estimate_test.cpp
+++ b/test/routing/load_estimate_test.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-const protocol::Change kReady = protocol::ReplicaChanged{replicaRecord(5, "model", 0)};
-const protocol::Change kRemoved = protocol::ReplicaRemoved{{5}};
+const protocol::Change kReplicaReady = protocol::ReplicaChanged{replicaRecord(5, "model", 0)};
+const protocol::Change kReplicaRemoved = protocol::ReplicaRemoved{{5}};
 
 /// Simulates a load that takes this long from the first request.
-void load(RouterHarness& harness, const std::string& id, base::Duration time) {
+void simulateLoad(RouterHarness& harness, const std::string& id, base::Duration time) {
   harness.request(id, time + 5s);
   harness.advance(time);
-  harness.change(kReady);
-  harness.give(CallerGone{{id}});
-  harness.change(kRemoved);
+  harness.commitChange(kReplicaReady);
+  harness.deliver(CallerGone{{id}});
+  harness.commitChange(kReplicaRemoved);
 }
 
 /// @return whether the leader's latest entry, after further reports, has a waiting request.
 bool reportsDemand(RouterHarness& harness) {
   harness.advance(1500ms);
   bool waiting = false;
-  for (const protocol::Message& message : harness.sent) {
+  for (const protocol::Message& message : harness.sentMessages) {
     if (const auto* report = std::get_if<protocol::DemandReport>(&message)) {
       for (const protocol::Demand& demand : report->entries) {
         waiting = demand.waitingInteractive > 0;
@@ -44,27 +44,27 @@
 
 TEST(LoadEstimateTest, slowLoadsRefuseShortDeadlinesWhileTheyAreRecent) {
   RouterHarness harness({}, false);
-  load(harness, "first", 2s);
-  load(harness, "slow", 60s);
-  load(harness, "slower", 100s);
+  simulateLoad(harness, "first", 2s);
+  simulateLoad(harness, "slow", 60s);
+  simulateLoad(harness, "slower", 100s);
   harness.request("recent", 5s);
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK_TRUE(harness.refusals[0].error.code == base::ErrorCode::deadlineUnreachable);
 }
 
-TEST(LoadEstimateTest, slowLoadsOfLongAgoRefuseNobody) {
+TEST(LoadEstimateTest, oldSlowLoadsRefuseNoRequest) {
   RouterHarness harness({}, false);
-  load(harness, "first", 2s);
-  load(harness, "slow", 60s);
-  load(harness, "slower", 100s);
+  simulateLoad(harness, "first", 2s);
+  simulateLoad(harness, "slow", 60s);
+  simulateLoad(harness, "slower", 100s);
   harness.advance(2min);
   harness.request("later", 5s);
   CHECK_EQUAL(0U, harness.refusals.size());
 }
 
-TEST(LoadEstimateTest, oneSlowLoadOfLongAgoIsNoEvidence) {
+TEST(LoadEstimateTest, oneOldSlowLoadRefusesNoRequest) {
   RouterHarness harness({}, false);
-  load(harness, "slow", 60s);
+  simulateLoad(harness, "slow", 60s);
   harness.advance(2min);
   harness.request("later", 20s);
   CHECK_EQUAL(0U, harness.refusals.size());
@@ -72,9 +72,9 @@
 
 TEST(LoadEstimateTest, loadsThatAreAlwaysSlowRefuseShortDeadlinesLater) {
   RouterHarness harness({}, false);
-  load(harness, "first", 40s);
-  load(harness, "second", 40s);
-  load(harness, "third", 40s);
+  simulateLoad(harness, "first", 40s);
+  simulateLoad(harness, "second", 40s);
+  simulateLoad(harness, "third", 40s);
   harness.advance(2min);
   harness.request("later", 20s);
   CHECK_EQUAL(1U, harness.refusals.size());
@@ -82,11 +82,11 @@
 
 TEST(LoadEstimateTest, demandOfARefusedRequestEndsWhenTheModelIsReady) {
   RouterHarness harness({}, false);
-  load(harness, "slow", 60s);
+  simulateLoad(harness, "slow", 60s);
   harness.request("refused", 1s);
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK_TRUE(reportsDemand(harness));
-  harness.change(kReady);
-  harness.change(kRemoved);
+  harness.commitChange(kReplicaReady);
+  harness.commitChange(kReplicaRemoved);
   CHECK_FALSE(reportsDemand(harness));
 }
--- a/test/routing/prefix_index_test.cpp
+++ b/test/routing/prefix_index_test.cpp
@@ -28,7 +28,7 @@
   CHECK_EQUAL(1U, index.matchingBlocks(engineNumber(kEngines - 1), {0}));
 }
 
-TEST(PrefixIndexTest, forgettingAnEngineFreesItsBlocksAlone) {
+TEST(PrefixIndexTest, erasingAnEngineRemovesOnlyItsBlocks) {
   index.recordPrompt(engineNumber(1), {1, 2, 3});
   index.recordPrompt(engineNumber(2), {1, 2});
   index.eraseEngine(engineNumber(1));
@@ -37,7 +37,7 @@
   CHECK_EQUAL(2U, index.matchingBlocks(engineNumber(2), {1, 2, 3}));
 }
 
-TEST(PrefixIndexTest, evictionsAndGapsOfEventsForget) {
+TEST(PrefixIndexTest, evictionsAndSequenceGapsRemoveBlocks) {
   index.recordPrompt(engineNumber(1), {1, 2});
   index.apply(engineNumber(1), {{1, {}, 2, true}});
   CHECK_EQUAL(1U, index.matchingBlocks(engineNumber(1), {1, 2}));
--- a/test/routing/router_fleet.h
+++ b/test/routing/router_fleet.h
@@ -38,36 +38,37 @@
       for (std::size_t number = 0; number < perRouter; ++number) {
         request(member);
       }
-      for (; member.seen < member.router->started.size(); ++member.seen) {
-        member.open.push_back(member.router->started[member.seen]);
-        give(member, engine::GenerateToken{id(member.open.back()),
-                                           member.open.back().generate.attempt, 0, "token"});
+      for (; member.handledStarts < member.router->starts.size(); ++member.handledStarts) {
+        member.open.push_back(member.router->starts[member.handledStarts]);
+        deliver(member, engine::GenerateToken{id(member.open.back()),
+                                              member.open.back().generate.attempt, 0, "token"});
       }
     }
   }
   /// Makes another replica of the model ready on the engine.
   void addReplica(std::size_t engine) {
     for (Member& member : members_) {
-      member.router->change(protocol::EngineChanged{engineRecord(engine)});
-      member.router->change(protocol::ReplicaChanged{replicaRecord(engine + 1, "model", engine)});
+      member.router->commitChange(protocol::EngineChanged{engineRecord(engine)});
+      member.router->commitChange(
+          protocol::ReplicaChanged{replicaRecord(engine + 1, "model", engine)});
     }
   }
   /// Breaks the engine's streams. The engine then fails all attempts with the code, as not
   /// executed.
-  void lose(std::size_t engine, base::ErrorCode answer) {
-    answer_ = answer;
-    lost_.insert(engineRecord(engine).id);
+  void failEngine(std::size_t engine, base::ErrorCode answer) {
+    failureCode_ = answer;
+    failedEngines_.insert(engineRecord(engine).id);
     for (Member& member : members_) {
       const std::vector<StartAttempt> open = std::exchange(member.open, {});
       for (const StartAttempt& start : open) {
-        if (lost_.contains(start.engine)) {
+        if (failedEngines_.contains(start.engine)) {
           member.router->fail(start, base::ErrorCode::connectionLost,
                               engine::GenerateFailed::Started::unknown);
         }
       }
     }
   }
-  void bringBack(std::size_t engine) { lost_.erase(engineRecord(engine).id); }
+  void restoreEngine(std::size_t engine) { failedEngines_.erase(engineRecord(engine).id); }
 
   /// Advances the time. Reachable engines answer each attempt completely and at once.
   void run(base::Duration duration) {
@@ -80,20 +81,20 @@
           member.nextArrival += arrivalInterval_;
           request(member);
         }
-        for (; member.seen < member.router->started.size(); ++member.seen) {
-          const StartAttempt start = member.router->started[member.seen];
-          if (lost_.contains(start.engine)) {
+        for (; member.handledStarts < member.router->starts.size(); ++member.handledStarts) {
+          const StartAttempt start = member.router->starts[member.handledStarts];
+          if (failedEngines_.contains(start.engine)) {
             ++failed;
             member.recovered = false;
-            member.router->fail(start, answer_, engine::GenerateFailed::Started::no);
+            member.router->fail(start, failureCode_, engine::GenerateFailed::Started::no);
           } else {
             recovered += std::exchange(member.recovered, true) ? 0 : 1;
             ++answered;
-            give(member, engine::GenerateEnded{id(start),
-                                               start.generate.attempt,
-                                               start.generate.offset,
-                                               engine::FinishReason::stop,
-                                               {}});
+            deliver(member, engine::GenerateEnded{id(start),
+                                                  start.generate.attempt,
+                                                  start.generate.offset,
+                                                  engine::FinishReason::stop,
+                                                  {}});
           }
         }
       }
@@ -139,14 +140,14 @@
   struct Member {
     std::unique_ptr<RouterHarness> router;
     base::TimePoint nextArrival;
-    std::size_t seen = 0;  ///< Attempts that were answered or are in `open`.
+    std::size_t handledStarts = 0;  ///< Attempts that were answered or are in `open`.
     std::vector<StartAttempt> open;
     bool recovered = true;
   };
 
   static base::RequestId id(const StartAttempt& start) { return start.generate.request; }
-  static void give(Member& member, const engine::GenerateEvent& event) {
-    member.router->give(EngineEvent{event});
+  static void deliver(Member& member, const engine::GenerateEvent& event) {
+    member.router->deliver(EngineEvent{event});
   }
   void request(Member& member) {
     member.router->request("request-" + std::to_string(nextRequest_++), deadline_);
@@ -156,8 +157,8 @@
   base::Duration arrivalInterval_;
   base::Duration deadline_;
   std::vector<Member> members_;
-  std::set<base::EngineId> lost_;
-  base::ErrorCode answer_ = base::ErrorCode::connectFailed;  ///< Error code of failed engines.
+  std::set<base::EngineId> failedEngines_;
+  base::ErrorCode failureCode_ = base::ErrorCode::connectFailed;  ///< Error code of failed engines.
   std::uint64_t nextRequest_ = 1;
 };
 
--- a/test/routing/router_harness.h
+++ b/test/routing/router_harness.h
@@ -36,24 +36,24 @@
     const base::TimePoint end = now_ + duration;
     while (router_->nextWakeup() <= end) {
       now_ = std::max(now_ + base::Duration{1}, router_->nextWakeup());
-      give(Tick{});
+      deliver(Tick{});
     }
     now_ = end;
-    give(Tick{});
+    deliver(Tick{});
   }
 
-  void give(const RouterInput& input) {
+  void deliver(const RouterInput& input) {
     router_->step(now_, input);
     for (const RouterAction& action : router_->takeActions()) {
-      std::visit([this](const auto& body) { carryOut(body); }, action);
+      std::visit([this](const auto& body) { execute(body); }, action);
     }
   }
 
   /// Commits a change in the cell and sends it to the router.
-  void change(const protocol::Change& change) {
+  void commitChange(const protocol::Change& change) {
     const consensus::LogIndex before = cell.index();
     cell.commit(change);
-    give(ControllerMessage{{1}, protocol::WatchDelta{before, cell.index(), {change}}});
+    deliver(ControllerMessage{{1}, protocol::WatchDelta{before, cell.index(), {change}}});
   }
 
   void request(const std::string& id, base::Duration deadline, std::uint32_t maxTokens = 4) {
@@ -63,11 +63,12 @@
     caller.prompt = "prompt";
     caller.maxTokens = maxTokens;
     caller.deadline = now_ + deadline;
-    give(CallerRequested{caller});
+    deliver(CallerRequested{caller});
   }
 
   /// Submits a request that must not be repeated; the cell grants its key.
-  void requestOnce(const std::string& id, base::Duration deadline, std::uint32_t maxTokens) {
+  void requestNonRepeatable(const std::string& id, base::Duration deadline,
+                            std::uint32_t maxTokens) {
     CallerRequest caller;
     caller.request = {id};
     caller.target = "model";
@@ -77,56 +78,57 @@
     caller.repeatable = false;
     caller.idempotencyKey = id;
     caller.issuedAt = now_;
-    give(CallerRequested{caller});
+    deliver(CallerRequested{caller});
   }
 
-  void fail(const StartAttempt& start, base::ErrorCode code, engine::GenerateFailed::Started word) {
+  void fail(const StartAttempt& start, base::ErrorCode code,
+            engine::GenerateFailed::Started startedState) {
     engine::GenerateFailed failed;
     failed.request = start.generate.request;
     failed.attempt = start.generate.attempt;
     failed.error.code = code;
-    failed.started = word;
-    give(EngineEvent{failed});
+    failed.started = startedState;
+    deliver(EngineEvent{failed});
   }
 
   base::TimePoint now() const { return now_; }
   const Router& router() const { return *router_; }
 
   FakeCell cell;
-  bool cellAnswers = true;              ///< If false, the cell's answers are lost.
-  std::vector<ExportAttempt> exports;   ///< In order.
-  std::vector<HoldState> holds;         ///< In order.
-  std::vector<KeepState> keeps;         ///< In order.
-  std::vector<PutState> puts;           ///< In order.
-  std::vector<DropState> drops;         ///< In order.
-  std::vector<CancelAttempt> cancels;   ///< In order.
-  std::vector<StartAttempt> started;    ///< Attempts, in order.
-  std::vector<CallerRefused> refusals;  ///< In order.
-  std::vector<protocol::Message> sent;  ///< To controllers, in order.
+  bool cellAnswers = true;                      ///< If false, the cell's answers are lost.
+  std::vector<ExportAttempt> exports;           ///< In order.
+  std::vector<HoldState> holds;                 ///< In order.
+  std::vector<KeepState> keeps;                 ///< In order.
+  std::vector<PutState> puts;                   ///< In order.
+  std::vector<DropState> drops;                 ///< In order.
+  std::vector<CancelAttempt> cancels;           ///< In order.
+  std::vector<StartAttempt> starts;             ///< Attempts, in order.
+  std::vector<CallerRefused> refusals;          ///< In order.
+  std::vector<protocol::Message> sentMessages;  ///< To controllers, in order.
 
  private:
-  void carryOut(const StartAttempt& action) { started.push_back(action); }
-  void carryOut(const ExportAttempt& action) { exports.push_back(action); }
-  void carryOut(const HoldState& action) { holds.push_back(action); }
-  void carryOut(const KeepState& action) { keeps.push_back(action); }
-  void carryOut(const PutState& action) { puts.push_back(action); }
-  void carryOut(const DropState& action) { drops.push_back(action); }
-  void carryOut(const CancelAttempt& action) { cancels.push_back(action); }
-  void carryOut(const CallerRefused& action) { refusals.push_back(action); }
-  void carryOut(const OpenController& action) {
+  void execute(const StartAttempt& action) { starts.push_back(action); }
+  void execute(const ExportAttempt& action) { exports.push_back(action); }
+  void execute(const HoldState& action) { holds.push_back(action); }
+  void execute(const KeepState& action) { keeps.push_back(action); }
+  void execute(const PutState& action) { puts.push_back(action); }
+  void execute(const DropState& action) { drops.push_back(action); }
+  void execute(const CancelAttempt& action) { cancels.push_back(action); }
+  void execute(const CallerRefused& action) { refusals.push_back(action); }
+  void execute(const OpenController& action) {
     const std::size_t number = action.endpoint.port - 7000U;
-    give(ControllerConnected{{number + 1}, action.endpoint, controllerHello(number)});
+    deliver(ControllerConnected{{number + 1}, action.endpoint, controllerHello(number)});
   }
-  void carryOut(const SendToController& action) {
-    sent.push_back(action.message);
+  void execute(const SendToController& action) {
+    sentMessages.push_back(action.message);
     answer(action);
   }
   /// @name Not looked at
   /// @{
-  void carryOut(const CallerToken&) {}
-  void carryOut(const CallerEnded&) {}
-  void carryOut(const CloseController&) {}
-  void carryOut(const RouterStopped&) {}
+  void execute(const CallerToken&) {}
+  void execute(const CallerEnded&) {}
+  void execute(const CloseController&) {}
+  void execute(const RouterStopped&) {}
   /// @}
 
   void answer(const SendToController& send) {
@@ -135,13 +137,13 @@
     }
     const std::size_t controller = send.connection.value - 1;
     if (const auto* probe = std::get_if<protocol::ProbeRequest>(&send.message)) {
-      give(ControllerMessage{send.connection, cell.probe(controller, probe->sequence)});
+      deliver(ControllerMessage{send.connection, cell.probe(controller, probe->sequence)});
     } else if (const auto* claim = std::get_if<protocol::ClaimRequest>(&send.message)) {
-      give(ControllerMessage{send.connection,
-                             protocol::ClaimReply{claim->sequence, cell.claim(claim->claim)}});
+      deliver(ControllerMessage{send.connection,
+                                protocol::ClaimReply{claim->sequence, cell.claim(claim->claim)}});
     } else if (const auto* watch = std::get_if<protocol::WatchRequest>(&send.message)) {
       for (const protocol::Message& page : cell.watch(watch->fromIndex)) {
-        give(ControllerMessage{send.connection, page});
+        deliver(ControllerMessage{send.connection, page});
       }
     }
   }
--- a/test/routing/scenario_oracle.h
+++ b/test/routing/scenario_oracle.h
@@ -14,7 +14,7 @@
 class ScenarioOracle {
  public:
   struct Run {
-    bool saidNotStarted = false;
+    bool reportedNotStarted = false;
     bool exported = false;
   };
   struct Record {
@@ -36,8 +36,8 @@
     record.mustBeRefused = mustBeRefused;
   }
   void gone(const base::RequestId& request) { at(request).gone = true; }
-  void saidNotStarted(const base::RequestId& request, base::AttemptId attempt) {
-    at(request).runs.at(attempt.value).saidNotStarted = true;
+  void reportedNotStarted(const base::RequestId& request, base::AttemptId attempt) {
+    at(request).runs.at(attempt.value).reportedNotStarted = true;
   }
   void exported(const base::RequestId& request, base::AttemptId attempt) {
     at(request).runs.at(attempt.value).exported = true;
@@ -61,7 +61,7 @@
     Record& record = terminal(refused.request, lastStep);
     ++refusals[refused.error.code];
     for (const auto& [attempt, run] : record.runs) {
-      const bool truthful = refused.executed != Executed::no || run.saidNotStarted;
+      const bool truthful = refused.executed != Executed::no || run.reportedNotStarted;
       expect(truthful, "executed: no after an attempt that may have run", refused.request);
     }
   }
@@ -74,7 +74,7 @@
     if (!record.caller.repeatable) {
       for (const auto& [attempt, run] : record.runs) {
         const bool sameRun = run.exported && generate.kvSource.has_value();
-        expect(run.saidNotStarted || sameRun, "non-repeatable request may run twice",
+        expect(run.reportedNotStarted || sameRun, "non-repeatable request may run twice",
                generate.request);
       }
     }
@@ -84,8 +84,8 @@
   }
   void finish() const {
     for (const auto& [id, record] : records_) {
-      const std::uint32_t wanted = record.gone ? 0 : 1;
-      expect(record.gone || record.terminals == wanted, "no terminal output", {id});
+      const std::uint32_t expectedTerminals = record.gone ? 0 : 1;
+      expect(record.gone || record.terminals == expectedTerminals, "no terminal output", {id});
     }
   }
   bool live(const base::RequestId& request) const {
--- a/test/routing/scenario_test.cpp
+++ b/test/routing/scenario_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(Scenario){};
 
-TEST(Scenario, everyRequestGetsOneTruthfulAnswerUnderFaults) {
+TEST(Scenario, everyRequestGetsOneCorrectAnswerUnderFaults) {
   constexpr std::uint64_t kSeeds = 200;
   std::uint64_t answered = 0;
   std::uint64_t moved = 0;
--- a/test/routing/scenario_world.cpp
+++ b/test/routing/scenario_world.cpp
@@ -8,8 +8,8 @@
 using engine::GenerateFailed;
 
 namespace {
-constexpr base::Duration kLength = std::chrono::seconds(20);
-constexpr base::Duration kDrain = std::chrono::seconds(15);
+constexpr base::Duration kFaultTime = std::chrono::seconds(20);
+constexpr base::Duration kShutdownTime = std::chrono::seconds(15);
 constexpr int kRequests = 60;
 constexpr int kBurst = 60;
 
@@ -39,20 +39,20 @@
 }
 
 void ScenarioWorld::run() {
-  at({}, [this] { wake(); });
+  at({}, [this] { tick(); });
   scheduleFaults();
   for (int count = 0; count < kRequests; ++count) {
-    at(random_.between({}, kLength), [this] { requestArrives(); });
+    at(random_.between({}, kFaultTime), [this] { submitRequest(); });
   }
-  const base::TimePoint burst = now_ + random_.between({}, kLength);
+  const base::TimePoint burst = now_ + random_.between({}, kFaultTime);
   for (int count = 0; count < kBurst; ++count) {
-    events_.emplace(burst + delay(0, 50), [this] { requestArrives(); });
+    events_.emplace(burst + delay(0, 50), [this] { submitRequest(); });
   }
-  at(kLength, [this] {
-    stopAsked_ = true;
+  at(kFaultTime, [this] {
+    stopRequested_ = true;
     deliver(PlannedStop{});
   });
-  const base::TimePoint end = now_ + kLength + kDrain;
+  const base::TimePoint end = now_ + kFaultTime + kShutdownTime;
   while (true) {
     const base::TimePoint wakeup = std::max(router_->nextWakeup(), frozenUntil_);
     const bool eventFirst = !events_.empty() && events_.begin()->first <= wakeup;
@@ -73,12 +73,12 @@
   CHECK_TRUE(stopped_);
 }
 
-void ScenarioWorld::wake() { stepRouter(Tick{}); }
+void ScenarioWorld::tick() { stepRouter(Tick{}); }
 
 void ScenarioWorld::scheduleFaults() {
-  const auto sometime = [this] { return random_.between({}, kLength); };
+  const auto sometime = [this] { return random_.between({}, kFaultTime); };
   at(sometime(), [this] { frozenUntil_ = now_ + delay(100, 8000); });
-  at(sometime(), [this] { cellCutUntil_ = now_ + delay(100, 8000); });
+  at(sometime(), [this] { cellUnreachableUntil_ = now_ + delay(100, 8000); });
   at(sometime(), [this] { reclaim(0); });
   if (random_.chance(0.5)) {
     at(sometime(), [this] { reclaim(1); });
@@ -110,12 +110,12 @@
       }
     }
     for (const std::uint64_t attempt : lost) {
-      engineFails(attempt, ErrorCode::connectionLost, GenerateFailed::Started::unknown);
+      failAttempt(attempt, ErrorCode::connectionLost, GenerateFailed::Started::unknown);
     }
   });
 }
 
-void ScenarioWorld::requestArrives() {
+void ScenarioWorld::submitRequest() {
   CallerRequest caller;
   caller.request = {"r" + std::to_string(nextRequest_++)};
   caller.target = random_.chance(0.8) ? "hot" : "cold";
@@ -133,7 +133,7 @@
   const bool unconfirmed = stepsAt - lastReply_ >= std::chrono::seconds(3);
   oracle_.requested(caller, stepsAt, unconfirmed && frozenUntil_ <= now_);
   deliver(CallerRequested{caller});
-  if (random_.chance(faults_.callerGone)) {
+  if (random_.chance(faults_.callerDisconnect)) {
     at(delay(0, 2000), [this, id = caller.request] {
       if (oracle_.live(id) && frozenUntil_ <= now_) {
         oracle_.gone(id);
@@ -159,13 +159,13 @@
   router_->step(now_, input);
   const std::vector<RouterAction> actions = router_->takeActions();
   for (const RouterAction& action : actions) {
-    carryOut(action);
+    execute(action);
   }
   lastStep_ = now_;
   CHECK_TRUE(router_->nextWakeup() > now_);
 }
 
-void ScenarioWorld::carryOut(const RouterAction& action) {
+void ScenarioWorld::execute(const RouterAction& action) {
   if (const auto* token = std::get_if<CallerToken>(&action)) {
     oracle_.token(*token);
   } else if (const auto* ended = std::get_if<CallerEnded>(&action)) {
@@ -173,32 +173,32 @@
   } else if (const auto* refused = std::get_if<CallerRefused>(&action)) {
     oracle_.refused(*refused, lastStep_);
   } else if (const auto* start = std::get_if<StartAttempt>(&action)) {
-    carryOut(*start);
+    execute(*start);
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-    carryOut(*cancel);
+    execute(*cancel);
   } else if (const auto* exporting = std::get_if<ExportAttempt>(&action)) {
-    carryOut(*exporting);
+    execute(*exporting);
   } else if (const auto* hold = std::get_if<HoldState>(&action)) {
-    carryOut(*hold);
+    execute(*hold);
   } else if (const auto* keep = std::get_if<KeepState>(&action)) {
-    carryOut(*keep);
+    execute(*keep);
   } else if (const auto* put = std::get_if<PutState>(&action)) {
-    carryOut(*put);
+    execute(*put);
   } else if (const auto* drop = std::get_if<DropState>(&action)) {
-    kept_.erase(drop->attempt.value);
+    storedStates_.erase(drop->attempt.value);
   } else if (const auto* open = std::get_if<OpenController>(&action)) {
-    carryOut(*open);
+    execute(*open);
   } else if (const auto* close = std::get_if<CloseController>(&action)) {
-    carryOut(*close);
+    execute(*close);
   } else if (const auto* send = std::get_if<SendToController>(&action)) {
-    carryOut(*send);
+    execute(*send);
   } else {
-    CHECK_TRUE(stopAsked_ && !stopped_);
+    CHECK_TRUE(stopRequested_ && !stopped_);
     stopped_ = true;
   }
 }
 
-void ScenarioWorld::carryOut(const StartAttempt& action) {
+void ScenarioWorld::execute(const StartAttempt& action) {
   const engine::GenerateRequest& generate = action.generate;
   const CallerRequest& caller = oracle_.caller(generate.request);
   oracle_.started(generate);
@@ -206,16 +206,16 @@
   const std::uint64_t attempt = generate.attempt.value;
   const std::size_t engine = engineNumber(action.endpoint);
   running_[attempt] = {generate, engine, generate.offset};
-  const bool unreachable = reclaimed_.contains(engine) || random_.chance(faults_.connectFailed);
+  const bool unreachable = reclaimed_.contains(engine) || random_.chance(faults_.connectFailure);
   const bool lostExport =
       generate.kvSource.has_value() && exports_.erase(generate.kvSource->handle) == 0;
   if (unreachable) {
-    engineFails(attempt, ErrorCode::connectFailed, GenerateFailed::Started::no);
+    failAttempt(attempt, ErrorCode::connectFailed, GenerateFailed::Started::no);
   } else if (lostExport) {
-    engineFails(attempt, ErrorCode::notFound, GenerateFailed::Started::no);
-  } else if (random_.chance(faults_.refused)) {
+    failAttempt(attempt, ErrorCode::notFound, GenerateFailed::Started::no);
+  } else if (random_.chance(faults_.refusal)) {
     const ErrorCode codes[] = {ErrorCode::engineOverloaded, ErrorCode::modelNotLoaded};
-    engineFails(attempt, codes[random_.uniform(0, 1)], GenerateFailed::Started::no);
+    failAttempt(attempt, codes[random_.uniform(0, 1)], GenerateFailed::Started::no);
   } else {
     at(delay(5, 100), [this, attempt] {
       const auto run = running_.find(attempt);
@@ -223,26 +223,26 @@
         return;
       }
       const engine::GenerateRequest generated = run->second.generate;
-      at(delay(10, 40), [this, attempt] { engineToken(attempt); });
+      at(delay(10, 40), [this, attempt] { sendEngineToken(attempt); });
       deliver(EngineEvent{engine::GenerateStarted{generated.request, {attempt}, {1}, {3, 1}}});
     });
   }
 }
 
-void ScenarioWorld::engineFails(std::uint64_t attempt, ErrorCode code,
+void ScenarioWorld::failAttempt(std::uint64_t attempt, ErrorCode code,
                                 GenerateFailed::Started started) {
   const auto run = running_.find(attempt);
   const base::RequestId request = run->second.generate.request;
   running_.erase(run);
   if (started == GenerateFailed::Started::no) {
-    oracle_.saidNotStarted(request, {attempt});
+    oracle_.reportedNotStarted(request, {attempt});
   }
   at(delay(1, 10), [this, request, attempt, code, started] {
     deliver(EngineEvent{GenerateFailed{request, {attempt}, {code, "", ""}, started}});
   });
 }
 
-void ScenarioWorld::engineToken(std::uint64_t attempt) {
+void ScenarioWorld::sendEngineToken(std::uint64_t attempt) {
   const auto found = running_.find(attempt);
   if (found == running_.end()) {
     return;
@@ -256,26 +256,26 @@
     deliver(EngineEvent{ended});
     return;
   }
-  if (random_.chance(faults_.lost / 20)) {
-    engineFails(attempt, ErrorCode::connectionLost, GenerateFailed::Started::unknown);
+  if (random_.chance(faults_.connectionLoss / 20)) {
+    failAttempt(attempt, ErrorCode::connectionLost, GenerateFailed::Started::unknown);
     return;
   }
-  if (random_.chance(faults_.silent / 20)) {
+  if (random_.chance(faults_.stall / 20)) {
     running_.erase(found);
     return;
   }
-  if (random_.chance(faults_.missing / 20)) {
+  if (random_.chance(faults_.missingToken / 20)) {
     ++run.next;
   }
   const std::uint32_t offset = run.next++;
   const engine::GenerateToken token{
       request, {attempt}, offset, ScenarioOracle::tokenText(request, offset)};
-  at(delay(10, 40), [this, attempt] { engineToken(attempt); });
+  at(delay(10, 40), [this, attempt] { sendEngineToken(attempt); });
   deliver(EngineEvent{token});
-  if (random_.chance(faults_.duplicated)) {
+  if (random_.chance(faults_.duplicateToken)) {
     deliver(EngineEvent{token});
   }
-  if (random_.chance(faults_.crossed)) {
+  if (random_.chance(faults_.crossedToken)) {
     engine::GenerateToken crossed = token;
     crossed.request = {"r" + std::to_string(random_.uniform(1, nextRequest_))};
     if (crossed.request != token.request) {
@@ -284,11 +284,11 @@
   }
 }
 
-void ScenarioWorld::carryOut(const CancelAttempt& action) {
+void ScenarioWorld::execute(const CancelAttempt& action) {
   running_.erase(action.cancel.attempt.value);
 }
 
-void ScenarioWorld::carryOut(const ExportAttempt& action) {
+void ScenarioWorld::execute(const ExportAttempt& action) {
   const std::uint64_t attempt = action.exportRequest.attempt.value;
   const base::RequestId request = action.exportRequest.request;
   at(delay(5, 50), [this, attempt, request] {
@@ -306,7 +306,7 @@
   });
 }
 
-void ScenarioWorld::carryOut(const HoldState& action) {
+void ScenarioWorld::execute(const HoldState& action) {
   at(delay(5, 50), [this, action] {
     const std::string handle = "held" + std::to_string(action.hold.attempt.value);
     const auto found = exports_.find(action.hold.source.handle);
@@ -324,34 +324,34 @@
   });
 }
 
-void ScenarioWorld::carryOut(const KeepState& action) {
+void ScenarioWorld::execute(const KeepState& action) {
   at(delay(5, 50), [this, action] {
     const auto found = exports_.find(action.source.handle);
     base::Result<void> result = base::success();
     if (found == exports_.end()) {
       result = base::Error{ErrorCode::unknownAttempt, "", ""};
     } else {
-      kept_[action.attempt.value] = found->second;
+      storedStates_[action.attempt.value] = found->second;
       exports_.erase(found);
     }
     deliver(StateKept{action.request, action.attempt, result});
   });
 }
 
-void ScenarioWorld::carryOut(const PutState& action) {
+void ScenarioWorld::execute(const PutState& action) {
   at(delay(5, 50), [this, action] {
     const std::string handle = "held" + std::to_string(action.put.attempt.value);
     engine::HoldResult result = engine::HoldReply{handle};
-    if (random_.chance(0.2) || !kept_.contains(action.put.attempt.value)) {
+    if (random_.chance(0.2) || !storedStates_.contains(action.put.attempt.value)) {
       result = base::Error{ErrorCode::engineOverloaded, "", ""};
     } else {
-      exports_[handle] = kept_.at(action.put.attempt.value);
+      exports_[handle] = storedStates_.at(action.put.attempt.value);
     }
     deliver(EngineHeld{action.engine, action.put.request, action.put.attempt, result});
   });
 }
 
-void ScenarioWorld::carryOut(const OpenController& action) {
+void ScenarioWorld::execute(const OpenController& action) {
   const std::size_t controller = controllerNumber(action.endpoint);
   at(delay(1, 20), [this, controller, endpoint = action.endpoint] {
     if (random_.chance(0.1)) {
@@ -363,24 +363,25 @@
   });
 }
 
-void ScenarioWorld::carryOut(const CloseController& action) {
+void ScenarioWorld::execute(const CloseController& action) {
   connections_.erase(controllerNumber(action.endpoint));
-  watches_.erase(controllerNumber(action.endpoint));
+  watchIndexes_.erase(controllerNumber(action.endpoint));
 }
 
 void ScenarioWorld::disconnect(std::size_t controller) {
   connections_.erase(controller);
-  watches_.erase(controller);
+  watchIndexes_.erase(controller);
   deliver(ControllerDisconnected{controllerEndpoint(controller)});
 }
 
-void ScenarioWorld::carryOut(const SendToController& action) {
+void ScenarioWorld::execute(const SendToController& action) {
   for (const auto& [controller, connection] : connections_) {
     if (connection == action.connection) {
       at(delay(1, 5),
          [this, controller = controller, connection = connection, message = action.message] {
            const auto open = connections_.find(controller);
-           if (open != connections_.end() && open->second == connection && now_ >= cellCutUntil_) {
+           if (open != connections_.end() && open->second == connection &&
+               now_ >= cellUnreachableUntil_) {
              controllerReceives(controller, connection, message);
            }
          });
@@ -398,25 +399,25 @@
     }
     deliver(ControllerMessage{connection, cell_.probe(controller, probe->sequence)});
   } else if (const auto* watch = std::get_if<protocol::WatchRequest>(&message)) {
-    watches_[controller] = cell_.index();
+    watchIndexes_[controller] = cell_.index();
     for (const protocol::Message& answer : cell_.watch(watch->fromIndex)) {
       deliver(ControllerMessage{connection, answer});
     }
   } else if (const auto* claim = std::get_if<protocol::ClaimRequest>(&message)) {
     const control::ClaimOutcome outcome = cell_.claim(claim->claim);
-    if (!random_.chance(faults_.claimLost)) {
+    if (!random_.chance(faults_.claimReplyLoss)) {
       deliver(ControllerMessage{connection, protocol::ClaimReply{claim->sequence, outcome}});
     }
   }
 }
 
 void ScenarioWorld::pushDeltas() {
-  const auto watches = watches_;
-  for (const auto& [controller, index] : watches) {
-    if (now_ < cellCutUntil_ || random_.chance(0.1)) {
+  const auto watchIndexes = watchIndexes_;
+  for (const auto& [controller, index] : watchIndexes) {
+    if (now_ < cellUnreachableUntil_ || random_.chance(0.1)) {
       continue;  // The delta is lost: the router has to detect that this controller lags.
     }
-    watches_[controller] = cell_.index();
+    watchIndexes_[controller] = cell_.index();
     for (const protocol::Message& message : cell_.watch(index)) {
       deliver(ControllerMessage{connections_.at(controller), message});
     }
--- a/test/routing/scenario_world.h
+++ b/test/routing/scenario_world.h
@@ -21,16 +21,16 @@
 
 /// Probability of each fault, per occasion.
 struct Faults {
-  double connectFailed = 0.04;
-  double refused = 0.04;
-  double lost = 0.04;        ///< The stream breaks at some token.
-  double silent = 0.02;      ///< The stream stalls at some token.
-  double duplicated = 0.05;  ///< A token is sent twice.
-  double missing = 0.02;     ///< A token is skipped.
-  double crossed = 0.05;     ///< A token arrives under another request's id.
-  double disconnect = 0.02;  ///< A controller disconnects, per probe.
-  double claimLost = 0.1;
-  double callerGone = 0.05;
+  double connectFailure = 0.04;
+  double refusal = 0.04;
+  double connectionLoss = 0.04;  ///< The stream breaks at some token.
+  double stall = 0.02;           ///< The stream stalls at some token.
+  double duplicateToken = 0.05;  ///< A token is sent twice.
+  double missingToken = 0.02;    ///< A token is skipped.
+  double crossedToken = 0.05;    ///< A token arrives under another request's id.
+  double disconnect = 0.02;      ///< A controller disconnects, per probe.
+  double claimReplyLoss = 0.1;
+  double callerDisconnect = 0.05;
 };
 
 class ScenarioWorld {
@@ -55,25 +55,25 @@
   }
   /// Passes the input to the router; if it is frozen, as soon as it resumes.
   void deliver(RouterInput input);
-  void wake();
+  void tick();
   void stepRouter(const RouterInput& input);
-  void carryOut(const RouterAction& action);
-  void carryOut(const StartAttempt& action);
-  void carryOut(const CancelAttempt& action);
-  void carryOut(const ExportAttempt& action);
-  void carryOut(const HoldState& action);
-  void carryOut(const KeepState& action);
-  void carryOut(const PutState& action);
-  void carryOut(const OpenController& action);
-  void carryOut(const CloseController& action);
-  void carryOut(const SendToController& action);
+  void execute(const RouterAction& action);
+  void execute(const StartAttempt& action);
+  void execute(const CancelAttempt& action);
+  void execute(const ExportAttempt& action);
+  void execute(const HoldState& action);
+  void execute(const KeepState& action);
+  void execute(const PutState& action);
+  void execute(const OpenController& action);
+  void execute(const CloseController& action);
+  void execute(const SendToController& action);
   void controllerReceives(std::size_t controller, protocol::ConnectionId connection,
                           const protocol::Message& message);
   void pushDeltas();
   void disconnect(std::size_t controller);
-  void requestArrives();
-  void engineToken(std::uint64_t attempt);
-  void engineFails(std::uint64_t attempt, base::ErrorCode code,
+  void submitRequest();
+  void sendEngineToken(std::uint64_t attempt);
+  void failAttempt(std::uint64_t attempt, base::ErrorCode code,
                    engine::GenerateFailed::Started started);
   void reclaim(std::size_t engine);
   void scheduleFaults();
@@ -84,22 +84,22 @@
   base::TimePoint frozenUntil_;
   base::TimePoint lastStep_;
   base::TimePoint lastReply_;
-  base::TimePoint cellCutUntil_;
+  base::TimePoint cellUnreachableUntil_;
   std::multimap<base::TimePoint, Event> events_;
   FakeCell cell_;
   ScenarioOracle oracle_;
   std::unique_ptr<Router> router_;
   std::map<std::size_t, protocol::ConnectionId> connections_;
-  std::map<std::size_t, consensus::LogIndex> watches_;
+  std::map<std::size_t, consensus::LogIndex> watchIndexes_;
   std::uint64_t nextConnection_ = 1;
   std::uint64_t nextRequest_ = 1;
   std::map<std::uint64_t, Running> running_;
   std::map<std::string, std::uint32_t> exports_;
   /// Offsets of the states that the router stores, by attempt.
-  std::map<std::uint64_t, std::uint32_t> kept_;
+  std::map<std::uint64_t, std::uint32_t> storedStates_;
   std::set<std::size_t> reclaimed_;
   bool stopped_ = false;
-  bool stopAsked_ = false;
+  bool stopRequested_ = false;
 };
 
 }  // namespace walnut::routing::testing
--- a/test/routing/state_parking_test.cpp
+++ b/test/routing/state_parking_test.cpp
@@ -22,36 +22,36 @@
 struct ParkingHarness : RouterHarness {
   explicit ParkingHarness(base::Duration deadline = 60s, const RouterOptions& options = {})
       : RouterHarness(options) {
-    change(protocol::EngineChanged{engineRecord(1)});
-    change(protocol::EngineChanged{engineRecord(2)});
-    requestOnce("once", deadline, kLongAnswer);
+    commitChange(protocol::EngineChanged{engineRecord(1)});
+    commitChange(protocol::EngineChanged{engineRecord(2)});
+    requestNonRepeatable("once", deadline, kLongAnswer);
     for (std::uint32_t offset = 0; offset < kDelivered; ++offset) {
       advance(100ms);
-      give(EngineEvent{engine::GenerateToken{{"once"}, attempt(), offset, " token"}});
+      deliver(EngineEvent{engine::GenerateToken{{"once"}, attempt(), offset, " token"}});
     }
-    leave(0, 4s);
+    reclaimEngine(0, 4s);
   }
 
-  base::AttemptId attempt() const { return started.back().generate.attempt; }
+  base::AttemptId attempt() const { return starts.back().generate.attempt; }
 
   /// Announces that the engine's machine is reclaimed after `grace`.
-  void leave(std::size_t number, base::Duration grace) {
+  void reclaimEngine(std::size_t number, base::Duration grace) {
     resource::Engine reclaimed = engineRecord(number);
     reclaimed.status = resource::EngineStatus::leaving;
     reclaimed.reclaimAt = now() + grace;
-    change(protocol::EngineChanged{reclaimed});
+    commitChange(protocol::EngineChanged{reclaimed});
   }
 
   /// Advances to the time at which the stream has to move, and answers its export.
   void exportStream() {
     advance(2100ms);
     CHECK_EQUAL(1U, exports.size());
-    give(EngineExported{{"once"}, attempt(), engine::ExportReply{"kv-source", kDelivered}});
+    deliver(EngineExported{{"once"}, attempt(), engine::ExportReply{"kv-source", kDelivered}});
   }
 
   void answerHold(const engine::HoldResult& result) {
     const HoldState& asked = holds.back();
-    give(EngineHeld{asked.engine, asked.hold.request, asked.hold.attempt, result});
+    deliver(EngineHeld{asked.engine, asked.hold.request, asked.hold.attempt, result});
   }
 
   void park() {
@@ -63,7 +63,7 @@
   /// @return the number of waiting requests that was last reported to the leader.
   std::uint32_t reportedWaiting() const {
     std::uint32_t waiting = 0;
-    for (const protocol::Message& message : sent) {
+    for (const protocol::Message& message : sentMessages) {
       if (const auto* report = std::get_if<protocol::DemandReport>(&message)) {
         for (const protocol::Demand& demand : report->entries) {
           waiting = demand.waitingInteractive;
@@ -73,7 +73,7 @@
     return waiting;
   }
 
-  std::size_t numberOf(const base::EngineId& engine) const {
+  std::size_t engineNumber(const base::EngineId& engine) const {
     return engine == engineRecord(1).id ? 1 : 2;
   }
 };
@@ -82,7 +82,7 @@
 
 TEST_GROUP(StateParkingTest){};
 
-TEST(StateParkingTest, stateIsHeldElsewhereAndTheStreamGoesOnFromThere) {
+TEST(StateParkingTest, stateIsHeldByAnotherEngineAndTheStreamResumesThere) {
   ParkingHarness harness;
   harness.exportStream();
   CHECK_EQUAL(1U, harness.holds.size());
@@ -93,15 +93,15 @@
   harness.advance(300ms);
   CHECK_EQUAL(1U, harness.reportedWaiting());  // It is reported while the engine has not answered.
   harness.answerHold(engine::HoldReply{"held"});
-  harness.change(protocol::EngineRemoved{engineRecord(0).id});
+  harness.commitChange(protocol::EngineRemoved{engineRecord(0).id});
   harness.advance(10s);
   CHECK_EQUAL(1U, harness.reportedWaiting());
   CHECK_EQUAL(0U, harness.refusals.size());
-  CHECK_EQUAL(1U, harness.started.size());
+  CHECK_EQUAL(1U, harness.starts.size());
 
-  harness.change(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
-  CHECK_EQUAL(2U, harness.started.size());
-  const engine::GenerateRequest& resumed = harness.started[1].generate;
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
+  CHECK_EQUAL(2U, harness.starts.size());
+  const engine::GenerateRequest& resumed = harness.starts[1].generate;
   CHECK_EQUAL(kDelivered, resumed.offset);
   CHECK_TRUE(resumed.kvSource->endpoint == hold.endpoint);
   STRCMP_EQUAL("held", resumed.kvSource->handle.c_str());
@@ -110,25 +110,25 @@
 
 TEST(StateParkingTest, streamWithAnotherReplicaIsNotParked) {
   ParkingHarness harness;
-  harness.change(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
   harness.advance(300ms);
   CHECK_EQUAL(1U, harness.exports.size());
-  harness.give(
+  harness.deliver(
       EngineExported{{"once"}, harness.attempt(), engine::ExportReply{"kv-source", kDelivered}});
   CHECK_EQUAL(0U, harness.holds.size());
-  CHECK_EQUAL(2U, harness.started.size());
+  CHECK_EQUAL(2U, harness.starts.size());
 }
 
 TEST(StateParkingTest, repeatableStreamIsRecomputedAndNotParked) {
   RouterHarness harness;
-  harness.change(protocol::EngineChanged{engineRecord(1)});
+  harness.commitChange(protocol::EngineChanged{engineRecord(1)});
   harness.request("again", 60s, kLongAnswer);
-  harness.give(
-      EngineEvent{engine::GenerateToken{{"again"}, harness.started[0].generate.attempt, 0, " x"}});
+  harness.deliver(
+      EngineEvent{engine::GenerateToken{{"again"}, harness.starts[0].generate.attempt, 0, " x"}});
   resource::Engine reclaimed = engineRecord(0);
   reclaimed.status = resource::EngineStatus::leaving;
   reclaimed.reclaimAt = harness.now() + 4s;
-  harness.change(protocol::EngineChanged{reclaimed});
+  harness.commitChange(protocol::EngineChanged{reclaimed});
   harness.advance(2500ms);
   CHECK_EQUAL(0U, harness.cancels.size());
   harness.advance(1s);
@@ -137,7 +137,7 @@
   CHECK_EQUAL(1U, harness.cancels.size());
 }
 
-TEST(StateParkingTest, fullOrLeavingEngineLeadsToAnother) {
+TEST(StateParkingTest, refusalByAFullOrLeavingEngineLeadsToAnotherEngine) {
   for (const base::ErrorCode code :
        {base::ErrorCode::engineOverloaded, base::ErrorCode::engineLeaving}) {
     ParkingHarness harness;
@@ -146,13 +146,13 @@
     CHECK_EQUAL(2U, harness.holds.size());
     CHECK_TRUE(harness.holds[0].engine != harness.holds[1].engine);
     harness.answerHold(engine::HoldReply{"held"});
-    harness.change(protocol::EngineRemoved{engineRecord(0).id});
+    harness.commitChange(protocol::EngineRemoved{engineRecord(0).id});
     harness.advance(5s);
     CHECK_EQUAL(0U, harness.refusals.size());
   }
 }
 
-TEST(StateParkingTest, unclearAnswerIsAskedForAgainAtTheSameEngine) {
+TEST(StateParkingTest, indefiniteAnswerIsRetriedAtTheSameEngine) {
   ParkingHarness harness;
   harness.exportStream();
   harness.answerHold(refusal(base::ErrorCode::connectionLost));
@@ -164,28 +164,28 @@
   CHECK_EQUAL(2U, harness.holds.size());
 }
 
-TEST(StateParkingTest, holderThatIsReclaimedHandsTheStateOn) {
+TEST(StateParkingTest, reclaimedHolderPassesTheStateOn) {
   ParkingHarness harness;
   harness.park();
-  const std::size_t first = harness.numberOf(harness.holds[0].engine);
-  harness.leave(first, 5s);
+  const std::size_t first = harness.engineNumber(harness.holds[0].engine);
+  harness.reclaimEngine(first, 5s);
   harness.advance(2s);
   CHECK_EQUAL(1U, harness.holds.size());
   harness.advance(1300ms);
   CHECK_EQUAL(2U, harness.holds.size());
   const HoldState& second = harness.holds[1];
-  CHECK_EQUAL(3U - first, harness.numberOf(second.engine));
+  CHECK_EQUAL(3U - first, harness.engineNumber(second.engine));
   STRCMP_EQUAL("held", second.hold.source.handle.c_str());
   CHECK_TRUE(second.hold.source.endpoint == harness.holds[0].endpoint);
 }
 
-TEST(StateParkingTest, drainedHolderHandsTheStateOnAtOnce) {
+TEST(StateParkingTest, drainedHolderPassesTheStateOnAtOnce) {
   ParkingHarness harness;
   harness.park();
   resource::Resource drain;
   drain.key = {resource::Kind::drain, harness.holds[0].engine.value};
   drain.spec = resource::DrainSpec{};
-  harness.change(protocol::ResourceChanged{drain});
+  harness.commitChange(protocol::ResourceChanged{drain});
   harness.advance(300ms);
   CHECK_EQUAL(2U, harness.holds.size());
   CHECK_TRUE(harness.holds[0].engine != harness.holds[1].engine);
@@ -194,22 +194,22 @@
 TEST(StateParkingTest, lostHolderEndsTheRequestAtOnce) {
   ParkingHarness harness;
   harness.park();
-  resource::Engine restarted = engineRecord(harness.numberOf(harness.holds[0].engine));
+  resource::Engine restarted = engineRecord(harness.engineNumber(harness.holds[0].engine));
   restarted.incarnation = {2};
-  harness.change(protocol::EngineChanged{restarted});
+  harness.commitChange(protocol::EngineChanged{restarted});
   harness.advance(300ms);
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK_TRUE(harness.refusals[0].error.code == base::ErrorCode::streamBroken);
   CHECK_TRUE(harness.refusals[0].executed == Executed::yes);
   CHECK_FALSE(harness.refusals[0].retryable);
-  harness.change(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
-  CHECK_EQUAL(1U, harness.started.size());
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
+  CHECK_EQUAL(1U, harness.starts.size());
 }
 
 TEST(StateParkingTest, replacedVersionEndsTheRequestAtOnce) {
   ParkingHarness harness;
   harness.park();
-  harness.change(modelChange("model", "v2"));
+  harness.commitChange(modelChange("model", "v2"));
   harness.advance(300ms);
   CHECK_EQUAL(1U, harness.refusals.size());
   CHECK_TRUE(harness.refusals[0].error.code == base::ErrorCode::streamBroken);
@@ -217,28 +217,28 @@
   CHECK_EQUAL(1U, harness.cancels.size());  // The holder is notified to free the copy.
 }
 
-TEST(StateParkingTest, replacedVersionThatIsDeclaredIsWaitedForAndTakenUp) {
+TEST(StateParkingTest, declaredPreviousVersionIsAwaitedAndResumed) {
   ParkingHarness harness;
-  harness.change(versionChange("v1", "model"));
+  harness.commitChange(versionChange("v1", "model"));
   harness.park();
-  harness.change(modelChange("model", "v2"));
+  harness.commitChange(modelChange("model", "v2"));
   harness.advance(300ms);
   CHECK_EQUAL(0U, harness.refusals.size());
-  const std::size_t before = harness.started.size();
-  harness.change(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
-  CHECK_EQUAL(before + 1, harness.started.size());
-  STRCMP_EQUAL("v1", harness.started.back().generate.servable.version.c_str());
+  const std::size_t before = harness.starts.size();
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(9, "model", 1)});
+  CHECK_EQUAL(before + 1, harness.starts.size());
+  STRCMP_EQUAL("v1", harness.starts.back().generate.servable.version.c_str());
 }
 
-TEST(StateParkingTest, streamOfAReplacedVersionStaysUntilItsMachineGoes) {
+TEST(StateParkingTest, streamOfAReplacedVersionStaysUntilItsMachineIsReclaimed) {
   ParkingHarness harness;
-  harness.change(modelChange("model", "v2"));
+  harness.commitChange(modelChange("model", "v2"));
   harness.advance(2500ms);
   CHECK_EQUAL(0U, harness.exports.size());
   CHECK_EQUAL(0U, harness.refusals.size());
 }
 
-TEST(StateParkingTest, sourceThatGoesBeforeAnyEngineHoldsTheStateEndsTheRequest) {
+TEST(StateParkingTest, sourceLostBeforeAnyEngineHoldsTheStateEndsTheRequest) {
   RouterOptions options;
   options.maxKeptStates = 0;
   ParkingHarness harness(60s, options);
@@ -266,10 +266,10 @@
   CHECK_EQUAL(0U, harness.reportedWaiting());
 }
 
-TEST(StateParkingTest, callerThatLeavesWhileTheStateIsBeingParkedFreesBothCopies) {
+TEST(StateParkingTest, callerDisconnectDuringParkingFreesBothCopies) {
   ParkingHarness harness;
   harness.exportStream();
-  harness.give(CallerGone{{"once"}});
+  harness.deliver(CallerGone{{"once"}});
   CHECK_EQUAL(2U, harness.cancels.size());
   harness.answerHold(engine::HoldReply{"held"});  // No request waits for this answer.
   harness.advance(1s);
@@ -277,13 +277,13 @@
   CHECK_EQUAL(0U, harness.refusals.size());
 }
 
-TEST(StateParkingTest, unconfirmedRouterHandsNoStateOver) {
+TEST(StateParkingTest, unconfirmedRouterSendsNoState) {
   ParkingHarness harness;
   harness.cellAnswers = false;
   harness.advance(2s);
   CHECK_EQUAL(1U, harness.exports.size());
   harness.advance(1200ms);  // The last confirmation is now older than the limit.
-  harness.give(
+  harness.deliver(
       EngineExported{{"once"}, harness.attempt(), engine::ExportReply{"kv-source", kDelivered}});
   CHECK_EQUAL(0U, harness.holds.size());
 }
@@ -291,56 +291,56 @@
 /// Like ParkingHarness, but no engine stays: engine 1 is gone, engine 2 is drained.
 struct KeepingHarness : ParkingHarness {
   explicit KeepingHarness(const RouterOptions& options = {}) : ParkingHarness(60s, options) {
-    change(protocol::EngineRemoved{engineRecord(1).id});
+    commitChange(protocol::EngineRemoved{engineRecord(1).id});
     resource::Resource drain;
     drain.key = {resource::Kind::drain, engineRecord(2).id.value};
     drain.spec = resource::DrainSpec{};
-    change(protocol::ResourceChanged{drain});
+    commitChange(protocol::ResourceChanged{drain});
   }
 
   void keep() {
     exportStream();
     CHECK_EQUAL(0U, holds.size());
     CHECK_EQUAL(1U, keeps.size());
-    give(StateKept{{"once"}, keeps[0].attempt, base::success()});
+    deliver(StateKept{{"once"}, keeps[0].attempt, base::success()});
   }
 };
 
 TEST_GROUP(StateKeepingTest){};
 
-TEST(StateKeepingTest, routerKeepsTheStateUntilAnEngineComes) {
+TEST(StateKeepingTest, routerKeepsTheStateUntilAnEngineJoins) {
   KeepingHarness harness;
   harness.keep();
   STRCMP_EQUAL("kv-source", harness.keeps[0].source.handle.c_str());
-  harness.change(protocol::EngineRemoved{engineRecord(0).id});
+  harness.commitChange(protocol::EngineRemoved{engineRecord(0).id});
   harness.advance(10s);
   CHECK_EQUAL(1U, harness.reportedWaiting());
   CHECK_EQUAL(0U, harness.puts.size());
   CHECK_EQUAL(0U, harness.refusals.size());
 
-  harness.change(protocol::EngineChanged{engineRecord(3)});
+  harness.commitChange(protocol::EngineChanged{engineRecord(3)});
   harness.advance(300ms);
   CHECK_EQUAL(1U, harness.puts.size());
   CHECK_TRUE(harness.puts[0].engine == engineRecord(3).id);
   CHECK_EQUAL(0U, harness.drops.size());
-  harness.give(EngineHeld{
+  harness.deliver(EngineHeld{
       harness.puts[0].engine, {"once"}, harness.puts[0].put.attempt, engine::HoldReply{"held"}});
   CHECK_EQUAL(1U, harness.drops.size());
-  harness.change(protocol::ReplicaChanged{replicaRecord(9, "model", 3)});
-  CHECK_EQUAL(2U, harness.started.size());
-  STRCMP_EQUAL("held", harness.started[1].generate.kvSource->handle.c_str());
-  CHECK_TRUE(harness.started[1].generate.kvSource->endpoint == engineRecord(3).endpoint);
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(9, "model", 3)});
+  CHECK_EQUAL(2U, harness.starts.size());
+  STRCMP_EQUAL("held", harness.starts[1].generate.kvSource->handle.c_str());
+  CHECK_TRUE(harness.starts[1].generate.kvSource->endpoint == engineRecord(3).endpoint);
 }
 
-TEST(StateKeepingTest, fullEngineLeavesTheStateWithTheRouter) {
+TEST(StateKeepingTest, routerKeepsTheStateThatAFullEngineRefuses) {
   KeepingHarness harness;
   harness.keep();
-  harness.change(protocol::EngineChanged{engineRecord(3)});
+  harness.commitChange(protocol::EngineChanged{engineRecord(3)});
   harness.advance(300ms);
-  harness.give(EngineHeld{harness.puts[0].engine,
-                          {"once"},
-                          harness.puts[0].put.attempt,
-                          refusal(base::ErrorCode::engineOverloaded)});
+  harness.deliver(EngineHeld{harness.puts[0].engine,
+                             {"once"},
+                             harness.puts[0].put.attempt,
+                             refusal(base::ErrorCode::engineOverloaded)});
   CHECK_EQUAL(0U, harness.drops.size());
   harness.advance(300ms);
   CHECK_EQUAL(2U, harness.puts.size());
@@ -355,12 +355,12 @@
   CHECK_EQUAL(1U, harness.drops.size());
 }
 
-TEST(StateKeepingTest, stateThatCouldNotBeFetchedEndsWithItsMachine) {
+TEST(StateKeepingTest, unfetchableStateEndsTheRequestWhenItsMachineIsReclaimed) {
   KeepingHarness harness;
   harness.exportStream();
   for (int round = 0; round < 60 && harness.refusals.empty(); ++round) {
     const base::Error lost{base::ErrorCode::connectionLost, "", ""};
-    harness.give(StateKept{{"once"}, harness.keeps.back().attempt, lost});
+    harness.deliver(StateKept{{"once"}, harness.keeps.back().attempt, lost});
     harness.advance(100ms);
   }
   CHECK_EQUAL(1U, harness.refusals.size());
@@ -368,7 +368,7 @@
   CHECK_EQUAL(harness.keeps.size(), harness.drops.size());
 }
 
-TEST(StateKeepingTest, keepsNoMoreThanItMay) {
+TEST(StateKeepingTest, routerKeepsNoMoreStatesThanTheLimit) {
   RouterOptions options;
   options.maxKeptStates = 0;
   KeepingHarness harness(options);
--- a/test/routing/unconfirmed_test.cpp
+++ b/test/routing/unconfirmed_test.cpp
@@ -17,36 +17,36 @@
   harness.request("waiting", 60s);
   harness.cellAnswers = false;
   harness.advance(5s);
-  harness.change(protocol::ReplicaChanged{replicaRecord(5, "model", 0)});
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(5, "model", 0)});
   harness.advance(5s);
-  CHECK_EQUAL(0U, harness.started.size());
+  CHECK_EQUAL(0U, harness.starts.size());
   harness.cellAnswers = true;
   harness.advance(2s);
-  CHECK_EQUAL(1U, harness.started.size());
+  CHECK_EQUAL(1U, harness.starts.size());
 }
 
 TEST(UnconfirmedTest, failedAttemptIsNotRetriedUntilItIsConfirmedAgain) {
   RouterHarness harness;
   harness.request("retried", 60s);
-  CHECK_EQUAL(1U, harness.started.size());
+  CHECK_EQUAL(1U, harness.starts.size());
   harness.cellAnswers = false;
   harness.advance(5s);
-  harness.fail(harness.started[0], base::ErrorCode::connectionLost,
+  harness.fail(harness.starts[0], base::ErrorCode::connectionLost,
                engine::GenerateFailed::Started::unknown);
   harness.advance(5s);
-  CHECK_EQUAL(1U, harness.started.size());
+  CHECK_EQUAL(1U, harness.starts.size());
   harness.cellAnswers = true;
   harness.advance(2s);
-  CHECK_EQUAL(2U, harness.started.size());
+  CHECK_EQUAL(2U, harness.starts.size());
 }
 
-TEST(UnconfirmedTest, operatorsChoiceToServeStillServes) {
+TEST(UnconfirmedTest, servePolicyDispatchesWhileUnconfirmed) {
   RouterOptions options;
   options.whenUnconfirmed = UnconfirmedPolicy::serve;
   RouterHarness harness(options, false);
   harness.request("waiting", 60s);
   harness.cellAnswers = false;
   harness.advance(5s);
-  harness.change(protocol::ReplicaChanged{replicaRecord(5, "model", 0)});
-  CHECK_EQUAL(1U, harness.started.size());
+  harness.commitChange(protocol::ReplicaChanged{replicaRecord(5, "model", 0)});
+  CHECK_EQUAL(1U, harness.starts.size());
 }
