--- a/include/walnut/control/commands.h
+++ b/include/walnut/control/commands.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Commands of the replicated state machine. Each one is an entry of the cell's log.
+/// Commands of the replicated state machine. Each command is an entry of the cell's log.
 
 #include <cereal/types/optional.hpp>
 #include <cereal/types/string.hpp>
@@ -19,8 +19,10 @@
 
 /// Creates or replaces a resource.
 struct PutResource {
-  std::string requestId;  ///< Operator's; a resend gets the first answer. Never empty.
-  /// Absent: unconditional. 0: must not exist. Else: must be the current version.
+  /// Id chosen by the operator, never empty. A resent request gets the first answer.
+  std::string requestId;
+  /// Version that the resource must have. 0: the resource must not exist; absent: the write is
+  /// unconditional.
   std::optional<resource::Version> expectedVersion;
   resource::Resource resource;
   template <class Archive>
@@ -39,8 +41,8 @@
   }
 };
 
-/// Adds an engine or replaces what is known of it. A new incarnation removes the replicas of the
-/// former one and frees their memory.
+/// Adds an engine or replaces its record. A new incarnation removes the replicas of the previous
+/// one and frees their memory.
 struct RegisterEngine {
   resource::Engine engine;
   template <class Archive>
@@ -49,7 +51,7 @@
   }
 };
 
-/// The machine is known gone: the engine and its replicas are removed.
+/// Removes the engine and its replicas after its machine is known to be gone.
 struct RemoveEngine {
   base::EngineId engine;
   template <class Archive>
@@ -58,15 +60,15 @@
   }
 };
 
-/// Decides a replica. Refused by the state machine if the memory or the replica limit does not
-/// allow it at the time it is applied, so that no interleaving overcommits.
+/// Places a replica. The state machine refuses it if the memory or the replica limit does not allow
+/// it at the time it is applied, so that no order of commands overcommits memory.
 struct PlaceReplica {
   resource::Servable servable;
   base::EngineId engine;
   base::Incarnation incarnation;
   base::AcceleratorIndex accelerator;
   std::uint64_t bytes = 0;
-  /// For streams that began with a version that is no longer the active one.
+  /// True if the replica is for streams that began with a version that is no longer the active one.
   bool formerVersion = false;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -74,7 +76,7 @@
   }
 };
 
-/// The engine reported the replica as ready.
+/// Marks the replica as ready after the engine reported it.
 struct MarkReplicaReady {
   base::ReplicaId replica;
   template <class Archive>
@@ -83,7 +85,7 @@
   }
 };
 
-/// Decides that a replica is to be unloaded. Routers stop using it when they learn of it.
+/// Begins to unload a replica. Routers stop using it when they learn of it.
 struct BeginUnload {
   base::ReplicaId replica;
   template <class Archive>
@@ -92,7 +94,8 @@
   }
 };
 
-/// The engine confirmed, under a token of the present leader's term, that it doesn't hold it.
+/// Releases the memory of a replica after the engine confirmed, under a token of the current
+/// leader's term, that it does not hold it.
 struct ReleaseReplica {
   base::ReplicaId replica;
   template <class Archive>
@@ -105,14 +108,14 @@
 struct ClaimKey {
   std::string key;
   base::RequestId request;   ///< A repeated claim by the same request is granted again.
-  base::TimePoint issuedAt;  ///< Caller's time of first issue.
+  base::TimePoint issuedAt;  ///< Time of first issue by the caller's clock.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(key, request, issuedAt);
   }
 };
 
-/// Several claims in one entry, so that one sync carries them all.
+/// Claims several keys in one log entry, so that one sync covers them all.
 struct ClaimKeys {
   std::vector<ClaimKey> claims;
   template <class Archive>
@@ -138,16 +141,16 @@
 /// Outcome of a claim.
 enum class ClaimOutcome : std::uint8_t {
   granted = 0,
-  duplicate = 1,    ///< Claimed by another request: it may have run.
-  expired = 2,      ///< Issued before the claim window: not run.
-  unavailable = 3,  ///< No leader could be asked: not run by this request.
+  duplicate = 1,    ///< Claimed by another request, which may have run.
+  expired = 2,      ///< Issued before the claim window; the request was not run.
+  unavailable = 3,  ///< No leader was reachable; the request was not run.
 };
 
 /// Outcome of PutResource or DeleteResource.
 struct WriteOutcome {
   std::optional<base::Error> error;
-  resource::Version version = 0;         ///< Of the change, when there is no error.
-  resource::Version currentVersion = 0;  ///< Of the resource, with versionConflict.
+  resource::Version version = 0;         ///< Version of the change, if there is no error.
+  resource::Version currentVersion = 0;  ///< Current version of the resource, with versionConflict.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(error, version, currentVersion);
--- a/include/walnut/control/controller.h
+++ b/include/walnut/control/controller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Pure interface of a controller's decision logic: consensus, state machine, leader duties,
-/// resource API, sessions of routers.
+/// Interface of a controller's decision logic: consensus, the state machine, the leader's tasks,
+/// the resource API and router sessions. It performs no I/O.
 
 #include <cstdint>
 #include <optional>
@@ -17,36 +17,44 @@
 
 namespace walnut::control {
 
-/// Settings of the control logic. Sources of the defaults: docs/DESIGN.md, "Timing".
+/// Settings of the control logic. The sources of the default values are given in docs/DESIGN.md,
+/// "Timing".
 struct ControllerOptions {
   consensus::RaftOptions raft;
-  base::Duration reportInterval = std::chrono::milliseconds(500);  ///< Per engine.
-  /// Of an engine that loads or unloads, so that a replica that has become ready serves soon.
+  /// Interval between reports of one engine.
+  base::Duration reportInterval = std::chrono::milliseconds(500);
+  /// Report interval of an engine that loads or unloads; short, so that a replica serves soon after
+  /// it becomes ready.
   base::Duration busyReportInterval = std::chrono::milliseconds(100);
-  base::Duration callTimeout = std::chrono::seconds(2);  ///< Engine call.
+  base::Duration callTimeout = std::chrono::seconds(2);  ///< Time-out of an engine call.
   base::Duration platformListInterval = std::chrono::seconds(1);
   base::Duration demandLifetime = std::chrono::seconds(5);
   base::Duration placementInterval = std::chrono::milliseconds(50);
-  /// All models are planned once in this time, for what only the passing of time changes; little
-  /// against idle times.
+  /// Time in which all models are planned once, for changes that follow from the passage of time
+  /// alone; short compared to idle times.
   base::Duration planningPass = std::chrono::seconds(2);
-  /// A machine is known gone when the platform list has lacked it for this long.
+  /// A machine counts as gone when it has been missing from the platform list for this long.
   base::Duration machineGoneAfter = std::chrono::seconds(10);
-  base::Duration claimWindow = std::chrono::minutes(10);  ///< How long a claimed key is kept.
+  base::Duration claimWindow = std::chrono::minutes(10);  ///< Time for which a claimed key is kept.
   base::Duration claimClockSkew = std::chrono::seconds(30);
-  base::Duration apiTimeout = std::chrono::seconds(5);  ///< Then `outcomeUnknown`.
+  /// After this time a request is answered with `outcomeUnknown`.
+  base::Duration apiTimeout = std::chrono::seconds(5);
   std::size_t snapshotEveryEntries = 4096;
   std::size_t snapshotKeepEntries = 512;
-  std::size_t watchKeepChanges = 4096;    ///< Changes kept for watchers; older: list again.
-  std::size_t requestAnswersKept = 4096;  ///< First answers kept for resends.
+  /// Changes kept for watchers; a watcher that is further behind must list again.
+  std::size_t watchKeepChanges = 4096;
+  std::size_t requestAnswersKept = 4096;  ///< Answers kept for resent requests.
   std::size_t watchPageChanges = 512;     ///< Changes in a WatchSnapshotPage.
-  /// Least time between two deltas to one router; changes in between are coalesced.
+  /// Shortest time between two deltas to one router; changes in between are coalesced.
   base::Duration watchPushInterval = std::chrono::milliseconds(20);
-  /// A router hears at least this often, so that it can tell silence from a lost connection.
+  /// Longest time between two messages to a router, so that it can tell a quiet state from a lost
+  /// connection.
   base::Duration watchHeartbeatInterval = std::chrono::milliseconds(500);
-  /// From the decision to unload until the order: routers learn of it and stop sending.
+  /// Time from the decision to unload until the unload order, in which routers learn of the
+  /// decision and stop sending requests.
   base::Duration unloadGrace = std::chrono::seconds(1);
-  base::Duration plannedStopTimeout = std::chrono::seconds(5);  ///< Then stop without a hand-over.
+  /// After this time the server stops without a leadership transfer.
+  base::Duration plannedStopTimeout = std::chrono::seconds(5);
 };
 
 /// @name Inputs
@@ -58,17 +66,18 @@
 struct PeerClosed {
   protocol::ConnectionId connection;
 };
-/// From an opened connection. consensus::Message too arrives this way.
+/// Message received over an opened connection, including consensus::Message.
 struct PeerMessage {
   protocol::ConnectionId connection;
   protocol::Message message;
 };
-/// From the HTTP edge; `call` is chosen by the edge and echoed.
+/// API call from the HTTP edge; `call` is chosen by the edge and echoed in the answer.
 struct ApiCall {
   std::uint64_t call = 0;
   protocol::ApiRequest request;
 };
-/// Operator's watch of changes of resources after `fromVersion`; stays open until closed.
+/// An operator watches changes of resources after `fromVersion`; the watch stays open until it is
+/// closed.
 struct ApiWatchOpened {
   std::uint64_t call = 0;
   std::optional<resource::Kind> kind;
@@ -84,10 +93,10 @@
 struct PlatformListRead {
   base::Result<engine::PlatformList> result;
 };
-/// The last batch was synced.
+/// The last batch was synced to disk.
 struct Persisted {};
 struct Tick {};
-/// Planned stop: hand over leadership, answer what is pending, then output ControllerStopped.
+/// Planned shutdown: transfer leadership, answer pending requests, then output ControllerStopped.
 struct PlannedStop {};
 /// @}
 
@@ -97,13 +106,14 @@
 
 /// @name Outputs
 /// @{
-/// To another server. The driver keeps one connection to each and drops what it can't send.
+/// Sends a message to another server. The driver keeps one connection to each server and drops
+/// messages that it cannot send.
 struct SendToServer {
   base::ServerId server;
   base::Endpoint endpoint;
   protocol::Message message;
 };
-/// Back over an opened connection.
+/// Sends a message over an opened connection.
 struct SendToConnection {
   protocol::ConnectionId connection;
   protocol::Message message;
@@ -112,22 +122,21 @@
   std::uint64_t call = 0;
   protocol::ApiReply reply;
 };
-/// Changes for an operator's watch. With `error` (`watchTooOld`) the watch is over.
+/// Changes for an operator's watch. If `error` (`watchTooOld`) is set, the watch has ended.
 struct ApiWatchEvents {
   std::uint64_t call = 0;
-  resource::Version version = 0;  ///< Everything up to here is included.
+  resource::Version version = 0;  ///< All changes up to this version are included.
   std::vector<protocol::Change> changes;
   std::optional<base::Error> error;
 };
-/// Call of an engine's published protocol; EngineCallFinished must follow, at the latest after
-/// callTimeout.
+/// Calls an engine over its published protocol. EngineCallFinished must follow within callTimeout.
 struct EngineCall {
   std::uint64_t call = 0;
   base::EngineId engine;
   base::Endpoint endpoint;
   engine::Call request;
 };
-/// PlatformListRead must follow.
+/// Reads the platform's list of machines. PlatformListRead must follow.
 struct ReadPlatformList {};
 struct ControllerStopped {};
 /// @}
@@ -135,20 +144,22 @@
 using ControllerAction = std::variant<SendToServer, SendToConnection, ApiAnswer, ApiWatchEvents,
                                       EngineCall, ReadPlatformList, ControllerStopped>;
 
-/// The driver persists and syncs `persist` first, then carries out the actions in order, then
-/// hands in `Persisted` if `persist` was not empty.
+/// Outputs of the controller. The driver first persists and syncs `persist`, then performs the
+/// actions in order, then inputs `Persisted` if `persist` was not empty.
 struct ControllerOutputs {
   consensus::PersistBatch persist;
   std::vector<ControllerAction> actions;
 };
 
-/// Decision logic of one controller. Deterministic, no I/O, owned by one decision loop. The driver
-/// may hand in several inputs before it takes outputs, so that one sync serves them all.
+/// Decision logic of one controller. It is deterministic, performs no I/O and is owned by one
+/// decision loop. The driver may input several events before it takes outputs, so that one sync
+/// covers them all.
 class Controller {
  public:
   virtual ~Controller() = default;
   virtual void step(base::TimePoint now, const ControllerInput& input) = 0;
-  /// Not to be called between outputs with a non-empty batch and the `Persisted` that answers it.
+  /// Must not be called between outputs with a non-empty batch and the `Persisted` that confirms
+  /// it.
   virtual ControllerOutputs takeOutputs() = 0;
   virtual base::TimePoint nextWakeup() const = 0;
   virtual consensus::RaftStatus raftStatus() const = 0;
--- a/src/control/api_requests.h
+++ b/src/control/api_requests.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Checks of requests of the resource API that need no state.
+/// Stateless checks of requests to the resource API.
 
 #include "walnut/base/error.h"
 #include "walnut/protocol/messages.h"
@@ -10,7 +10,8 @@
 /// @return true if the request changes the cell.
 bool isWrite(const protocol::ApiRequest& request);
 
-/// @return `missingField`, `outOfRange` or `wrongType`; the error names the field.
+/// Checks the form of a request.
+/// @return `missingField`, `outOfRange` or `wrongType`; the error contains the name of the field.
 base::Result<void> checkRequest(const protocol::ApiRequest& request);
 
 }  // namespace walnut::control
--- a/src/control/api_service.cpp
+++ b/src/control/api_service.cpp
@@ -9,10 +9,12 @@
 namespace walnut::control {
 
 namespace {
-/// Until a request that found no leader is tried again; a change of the leader is noticed at once.
+/// Time until a request that found no leader is dispatched again; a change of the leader is noticed
+/// immediately.
 constexpr base::Duration kRetryInterval = std::chrono::milliseconds(50);
-/// Until a forwarded request without an answer is forwarded again: the message, or its answer, may
-/// have been lost with a connection. Several times a commit, so that it is rare.
+/// Time until a forwarded request without an answer is forwarded again, because the message or its
+/// answer may have been lost with a connection. It is several times the duration of a commit, so
+/// that this is rare.
 constexpr base::Duration kForwardAgainAfter = std::chrono::seconds(1);
 }  // namespace
 
@@ -75,7 +77,8 @@
   answer(number, std::move(reply));
 }
 
-/// A request of another server goes back to it: that server knows best whom to ask next.
+/// Puts a request back into state waiting. A request of another server is answered `notLeader`
+/// instead, because that server knows best which server to ask next.
 void ApiService::wait(base::TimePoint now, RequestNumber number) {
   Request& request = requests_.at(number);
   if (request.isRemote()) {
@@ -86,8 +89,9 @@
   request.retryAt = now + kRetryInterval;
 }
 
-/// What was handed to a former leader is handed out again. A remote write whose entry is still in
-/// the log is left alone: its outcome may yet be seen, and its own server asks again.
+/// Dispatches requests again that were given to a previous leader. A remote write whose entry is
+/// still in the log is left alone: its outcome may still become visible, and the server that
+/// forwarded it asks again.
 void ApiService::noticeLeaderChange(base::TimePoint now) {
   const consensus::RaftStatus status = raft_.status();
   if (status.term == seenTerm_ && status.leader == seenLeader_) {
@@ -224,7 +228,7 @@
     return;
   }
   if (state_.appliedIndex() < status.membershipIndex) {
-    wait(now, number);  // The change is in the log and not committed yet.
+    wait(now, number);  // The change is in the log but not yet committed.
     return;
   }
   protocol::ApiReply reply;
@@ -261,7 +265,8 @@
       continue;
     }
     if (found->second.isRemote()) {
-      requests_.erase(found);  // Its own server asks again, or reports the outcome as unknown.
+      // The server that forwarded it asks again or reports the outcome as unknown.
+      requests_.erase(found);
     } else if (found->second.state == State::proposed) {
       wait(now, number);
     }
@@ -318,7 +323,8 @@
   return reply;
 }
 
-/// Local, so that an operator sees the status of each server also while there is no leader.
+/// Returns the status as seen by this server, so that an operator sees the status of each server
+/// even while there is no leader.
 protocol::CellStatus ApiService::status() const {
   const consensus::RaftStatus raft = raft_.status();
   protocol::CellStatus status;
--- a/src/control/api_service.h
+++ b/src/control/api_service.h
@@ -16,24 +16,24 @@
 
 namespace walnut::control {
 
-/// A request of this server's HTTP edge.
+/// Caller of a request from this server's HTTP edge.
 struct LocalCaller {
   std::uint64_t call = 0;
 };
 
-/// A request that another server has forwarded.
+/// Caller of a request that another server has forwarded.
 struct RemoteCaller {
   protocol::ConnectionId connection;
   std::uint64_t sequence = 0;
 };
 
-/// States of a request:
+/// Answers requests to the resource API. States of a request:
 ///   waiting -> forwarded (another server leads) | proposed | reading (this server leads)
-///   forwarded -> forwarded   again, when no answer came for a while
-///   forwarded, proposed, reading -> waiting     when leadership changes, or the leader has refused
-///   any -> (answered)                           at the latest after apiTimeout
-/// A write that is handed out again carries the same request id, so it takes effect once. Requests
-/// of other servers are only served while this server leads, and never forwarded on.
+///   forwarded -> forwarded                      when no answer arrived within a time-out
+///   forwarded, proposed, reading -> waiting     when leadership changes, or the leader refused
+///   any -> (answered)                           within apiTimeout
+/// A write that is sent again carries the same request id, so it takes effect once. Requests of
+/// other servers are served only while this server leads, and never forwarded again.
 /// Invariant: a write that may be in a log is never answered with an error that says it isn't.
 class ApiService {
  public:
@@ -52,16 +52,17 @@
   void forwarded(base::TimePoint now, protocol::ConnectionId connection,
                  const protocol::ForwardedRequest& request);
   void forwardedReply(base::TimePoint now, const protocol::ForwardedReply& reply);
-  /// Hands out what waits, and gives up what is due. To be called before Raft's outputs are taken.
+  /// Dispatches waiting requests and answers overdue ones with an error. Must be called before
+  /// Raft's outputs are taken.
   void flush(base::TimePoint now);
   void applied(base::TimePoint now, const AppliedEntry& entry);
   /// The outcome of entries up to `index` can't be seen any more.
   void snapshotInstalled(base::TimePoint now, consensus::LogIndex index);
-  /// Answers the reads that are confirmed. To be called after entries were applied.
+  /// Answers the confirmed reads. Must be called after entries were applied.
   void answerReads(base::TimePoint now);
   base::TimePoint nextWakeup() const;
 
-  /// From now on new calls are refused as `stopping`.
+  /// Refuses new calls with `stopping` from now on.
   void stop() { stopping_ = true; }
   bool idle() const { return requests_.empty(); }
 
@@ -72,11 +73,11 @@
     protocol::ApiRequest request;
     State state = State::waiting;
     base::TimePoint deadline;
-    base::TimePoint retryAt;             ///< In states waiting and forwarded.
-    std::uint64_t readToken = 0;         ///< In state reading.
-    consensus::LogIndex index = 0;       ///< In state proposed.
-    bool mayHaveRun = false;             ///< It is a write that was handed out.
-    std::optional<base::Error> refusal;  ///< Why it was not handed out the last time.
+    base::TimePoint retryAt;        ///< Time of the next attempt, in states waiting and forwarded.
+    std::uint64_t readToken = 0;    ///< Raft read token, in state reading.
+    consensus::LogIndex index = 0;  ///< Log index, in state proposed.
+    bool mayHaveRun = false;        ///< True for a write that was forwarded or proposed.
+    std::optional<base::Error> refusal;  ///< Reason why the last dispatch was refused.
 
     bool mayBeDispatched() const { return state == State::waiting || state == State::forwarded; }
     bool isRemote() const { return std::holds_alternative<RemoteCaller>(caller); }
--- a/src/control/cell_contents.h
+++ b/src/control/cell_contents.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Plain contents of the cell's state: what the commands change and a snapshot carries, without the
-/// indexes that are derived from it.
+/// Plain data of the cell's state: what commands change and a snapshot contains, without the
+/// indexes derived from it.
 
 #include <cereal/types/map.hpp>
 #include <map>
@@ -15,8 +15,8 @@
 
 struct CellContents {
   consensus::LogIndex appliedIndex = 0;
-  base::TimePoint time;                     ///< Greatest time of any command applied.
-  consensus::LogIndex membershipIndex = 0;  ///< Entry that `membership` came with.
+  base::TimePoint time;                     ///< Greatest time of any applied command.
+  consensus::LogIndex membershipIndex = 0;  ///< Log index of the entry that set `membership`.
   consensus::Membership membership;
   std::map<resource::Key, resource::Resource> resources;
   std::map<base::EngineId, resource::Engine> engines;
@@ -27,7 +27,7 @@
     archive(appliedIndex, time, membershipIndex, membership, resources, engines, replicas);
   }
 
-  /// @return the spec of the resource, or null. `SpecType` is the one of `kind`.
+  /// @return the spec of the resource, or null. `SpecType` must be the type that belongs to `kind`.
   template <class SpecType>
   const SpecType* findSpec(resource::Kind kind, const std::string& name) const {
     const auto found = resources.find(resource::Key{kind, name});
--- a/src/control/cell_ledger.cpp
+++ b/src/control/cell_ledger.cpp
@@ -10,7 +10,7 @@
   return found == map.end() ? 0 : found->second;
 }
 
-/// Takes `amount` from an entry that holds at least that much, and drops the entry at zero.
+/// Subtracts `amount` from an entry that holds at least that much, and removes the entry at zero.
 template <class Map, class Key>
 void subtract(Map& map, const Key& key, std::uint64_t amount) {
   const auto found = map.find(key);
@@ -23,7 +23,7 @@
   }
 }
 
-/// Takes the replica out of the set under `key`, and drops the set when it is empty.
+/// Removes the replica from the set under `key`, and removes the set when it is empty.
 template <class Map, class Key>
 void eraseFrom(Map& map, const Key& key, base::ReplicaId replica) {
   const auto found = map.find(key);
--- a/src/control/cell_ledger.h
+++ b/src/control/cell_ledger.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Sums over the replicas, kept up to date so that a placement is checked without a scan.
+/// Ledger of reserved memory and replica counts, kept up to date so that a placement is checked
+/// without a scan.
 
 #include <cstddef>
 #include <cstdint>
@@ -14,15 +15,17 @@
 
 namespace walnut::control {
 
-/// Derived from the replicas and from the budgets that the models name; never part of a snapshot.
-/// Invariant: every sum equals the one over the replicas that were added and not removed. Entries
-/// that fall to zero are dropped, so the size follows the replicas and not the history.
+/// Sums of reserved memory by engine, model and budget, and sets of replicas by engine and
+/// servable. It is derived from the replicas and from the budgets of the models, and is never part
+/// of a snapshot. Invariant: every sum equals the one over the replicas that were added and not
+/// removed. Entries that fall to zero are removed, so that the size follows the replicas and not
+/// the history.
 class CellLedger {
  public:
   void add(const resource::Replica& replica);
-  /// @param replica as it was added.
+  /// @param replica the same value that was added.
   void remove(const resource::Replica& replica);
-  /// The model's replicas count for this budget from now on; an empty name: for none.
+  /// Assigns the model's replicas to this budget; an empty name assigns them to none.
   void assignBudget(const std::string& model, const std::string& budget);
 
   std::uint64_t reservedBytes(const base::EngineId& engine,
--- a/src/control/cell_placement_rules.cpp
+++ b/src/control/cell_placement_rules.cpp
@@ -12,7 +12,7 @@
 using base::ErrorCode;
 using resource::Kind;
 
-/// What a placement is about, once it resolves.
+/// Model of a resolved placement and the memory that it needs.
 struct Target {
   const resource::ModelSpec* model = nullptr;
   std::uint64_t bytes = 0;
@@ -72,7 +72,7 @@
   return base::success();
 }
 
-/// Rules about what the engine holds already.
+/// Checks the rules that concern replicas already on the engine.
 base::Result<void> checkHeld(const CellContents& contents, const CellLedger& ledger,
                              const PlaceReplica& placement) {
   resource::Servable baseServable = placement.servable;
--- a/src/control/cell_snapshot.cpp
+++ b/src/control/cell_snapshot.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Snapshot of CellState: a format version, then the contents, the claims, the answers and the time
-/// of founding.
+/// Snapshot of CellState: a format version, followed by the contents, the claims, the answers and
+/// the time when the cell was founded.
 
 #include <string>
 #include <utility>
@@ -15,14 +15,15 @@
 using base::Error;
 using base::ErrorCode;
 
-/// 2: the time of founding, and budgets with keep-alive settings. Format 1 was never released.
+/// Format 2 added the founding time and the keep-alive settings of budgets. Format 1 was never
+/// released.
 constexpr std::uint32_t kSnapshotFormat = 2;
 
 Error malformed(std::string detail) {
   return {ErrorCode::malformedInput, "snapshot", std::move(detail)};
 }
 
-/// Checks what the rest of the state machine relies on.
+/// Checks the properties that the rest of the state machine relies on.
 base::Result<void> checkContents(const CellContents& contents) {
   for (const auto& [key, resource] : contents.resources) {
     const bool kindAgrees = resource.spec.index() == static_cast<std::size_t>(key.kind);
@@ -75,7 +76,7 @@
 
 }  // namespace
 
-/// Body of a snapshot.
+/// Decoded body of a snapshot.
 struct CellState::SavedState {
   CellContents contents;
   std::map<std::string, ClaimTable::Claim> claims;
--- a/src/control/cell_state.cpp
+++ b/src/control/cell_state.cpp
@@ -17,7 +17,7 @@
 using resource::Kind;
 using resource::ReplicaState;
 
-/// Far above what a machine holds.
+/// Largest accepted number of accelerators of an engine, far more than a machine has.
 constexpr std::size_t kMaxAccelerators = 1024;
 /// Largest accepted memory of an accelerator, 16 TiB, so that sums over a region fit in 64 bits.
 constexpr std::uint64_t kMaxAcceleratorBytes = std::uint64_t{1} << 44;
@@ -47,6 +47,7 @@
   return !adapter.servable.adapter.empty() && model == replica.servable;
 }
 
+/// Checks that the replica exists and may change its state.
 /// @param from states that the replica may be in.
 std::optional<Error> checkState(const resource::Replica* replica,
                                 std::initializer_list<ReplicaState> from) {
--- a/src/control/cell_state.h
+++ b/src/control/cell_state.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Replicated state machine of the cell: resources, engines, replicas with their memory ledger,
-/// claimed keys and the first answers of resent requests. Every server applies the same commands in
-/// the same order and holds the same state.
+/// claimed keys and the first answers to resent requests. All servers apply the same commands in
+/// the same order and hold the same state.
 
 #include <cstdint>
 #include <map>
@@ -27,35 +27,36 @@
 
 namespace walnut::control {
 
-/// What applying one command did.
+/// Result of applying one command.
 struct ApplyResult {
-  std::optional<WriteOutcome> write;   ///< Of PutResource and DeleteResource.
-  std::vector<ClaimOutcome> claims;    ///< Of ClaimKey and ClaimKeys, in their order.
-  std::optional<base::Error> refusal;  ///< Another command that the state didn't allow: no effect.
+  std::optional<WriteOutcome> write;   ///< Outcome of PutResource or DeleteResource.
+  std::vector<ClaimOutcome> claims;    ///< Outcomes of ClaimKeys, in the order of its claims.
+  std::optional<base::Error> refusal;  ///< Reason why another command was refused, without effect.
 };
 
-/// Invariants, after every entry:
+/// State of a cell. Invariants after every entry:
 /// - the reserved bytes of an accelerator are at most its memory;
-/// - replicas of a servable are at most the model's maxReplicas at the time each was placed;
-/// - every replica is of its engine's present incarnation;
-/// - an adapter's replica is only reserved or ready while its model version is ready on the same
-///   accelerator, because engines load and keep an adapter only over its model;
-/// - time never goes back: it is the greatest time of any command applied.
-/// Owned by the decision loop of one controller. Deterministic.
+/// - the replicas of a servable are at most the model's maxReplicas at the time each was placed;
+/// - every replica belongs to the current incarnation of its engine;
+/// - an adapter's replica is reserved or ready only while its model version is ready on the same
+///   accelerator, because engines load and keep an adapter only together with its model;
+/// - time never goes back: it is the greatest time of any applied command.
+///
+/// The state is deterministic and owned by the decision loop of one controller.
 class CellState {
  public:
   explicit CellState(const ControllerOptions& options);
 
   /// Applies the entry at `index`, which is greater than appliedIndex().
   ApplyResult apply(consensus::LogIndex index, const Command& command);
-  /// Takes in the membership that the entry at `index` carries.
+  /// Applies the membership of the entry at `index`.
   void applyMembership(consensus::LogIndex index, const consensus::Membership& membership);
-  /// An entry without an effect (a leader's first one).
+  /// Applies an entry without an effect (a leader's first one).
   void applyNoop(consensus::LogIndex index);
 
   /// @return the whole state, encoded.
   std::string encodeSnapshot() const;
-  /// Replaces the state. The history of changes starts anew at the snapshot's index.
+  /// Replaces the state. The history of changes restarts at the snapshot's index.
   base::Result<void> restoreSnapshot(std::string_view data);
 
   consensus::LogIndex appliedIndex() const;
@@ -72,24 +73,25 @@
   const resource::ModelVersionSpec* findModelVersion(const std::string& name) const;
   const resource::AdapterSpec* findAdapter(const std::string& name) const;
   /// @}
-  /// @return the budget that the model names, or the defaults of one.
+  /// @return the budget of the model, or a default one if it names none.
   resource::CapacityBudgetSpec budgetOf(const resource::ModelSpec& model) const;
-  /// @return the pool that the model names, or the defaults of one.
+  /// @return the pool of the model, or a default one if it names none.
   resource::EnginePoolSpec poolOf(const resource::ModelSpec& model) const;
-  /// @return true if an operator drains the engine.
+  /// @return true if an operator is draining the engine.
   bool drained(const base::EngineId& engine) const;
   /// @return memory that no replica reserves, in bytes; 0 for an unknown accelerator.
   std::uint64_t freeBytes(const base::EngineId& engine, base::AcceleratorIndex accelerator) const;
-  /// @return replicas of the servable in any state.
+  /// @return the number of replicas of the servable in any state.
   std::size_t replicaCount(const resource::Servable& servable) const;
 
-  /// The rules of a placement, checked both by the policy before it proposes one and by `apply`.
-  /// @return why it isn't allowed, or nothing.
+  /// Checks the rules of a placement. The policy calls it before it proposes a placement, and
+  /// `apply` calls it again.
+  /// @return the reason why it is not allowed; empty if it is.
   std::optional<base::Error> checkPlacement(const PlaceReplica& placement) const;
 
   /// Changes for routers and operators, by log index.
   const ChangeHistory& history() const;
-  /// @return the whole state as changes, for one who starts anew.
+  /// @return the whole state as changes, for a watcher that starts from scratch.
   std::vector<protocol::Change> wholeState() const;
   /// @return the first answer to a request id, if it is still kept.
   std::optional<WriteOutcome> answerOf(const std::string& requestId) const;
@@ -107,7 +109,8 @@
   ApplyResult applyBody(const ReleaseReplica& command);
   ApplyResult applyBody(const ClaimKeys& command);
 
-  /// Answers a write from what is remembered, or by `decide`, whose answer is remembered.
+  /// Answers a write with the stored answer to its request id, or with the result of `decide`,
+  /// which is then stored.
   template <class Write, class Decide>
   ApplyResult answerWrite(const Write& write, const Decide& decide);
   WriteOutcome refuseWrite(base::Error error, const resource::Key& key) const;
@@ -117,7 +120,7 @@
   void beginUnloadOutdated(const resource::Resource& former, const resource::Resource* replacement);
   resource::Replica* findReplica(base::ReplicaId id);
   void setState(resource::Replica& replica, resource::ReplicaState state);
-  /// Adapters over it on the same accelerator begin to unload with it.
+  /// Begins to unload the replica and the adapters on top of it on the same accelerator.
   void beginUnload(resource::Replica& replica);
   void removeReplica(base::ReplicaId id);
   void removeReplicasOn(const base::EngineId& engine);
@@ -128,7 +131,7 @@
   ClaimTable claims_;
   RequestAnswers answers_;
   ChangeHistory history_;
-  std::vector<protocol::Change> changes_;  ///< Of the entry that is being applied.
+  std::vector<protocol::Change> changes_;  ///< Changes made by the entry that is being applied.
 };
 
 }  // namespace walnut::control
--- a/src/control/cell_views.cpp
+++ b/src/control/cell_views.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reading side of CellState.
+/// Read-only functions of CellState.
 
 #include "control/cell_placement_rules.h"
 #include "control/cell_state.h"
--- a/src/control/cell_write_rules.cpp
+++ b/src/control/cell_write_rules.cpp
@@ -6,7 +6,7 @@
 #include "base/archive.h"
 #include "resource/validation.h"
 
-// The header-only form: the control library has no other use of xxHash.
+// xxHash is used header-only, since the control library has no other use of it.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -128,7 +128,7 @@
     return conflict(current->version);
   }
   if (remove.key.kind == Kind::adapter || remove.key.kind == Kind::drain) {
-    return std::nullopt;  // Nothing can name them.
+    return std::nullopt;  // No resource can refer to these kinds.
   }
   const auto user =
       std::find_if(contents.resources.begin(), contents.resources.end(),
@@ -170,7 +170,7 @@
     case Kind::capacityBudget:
     case Kind::enginePool:
     case Kind::drain:
-      break;  // They limit replicas, but don't say what is in them.
+      break;  // These kinds limit replicas but do not define their weights.
   }
   return false;
 }
--- a/src/control/change_history.cpp
+++ b/src/control/change_history.cpp
@@ -14,7 +14,7 @@
   auto operator<=>(const MembershipObject&) const = default;
 };
 
-/// What a change is about: two changes of the same object coalesce.
+/// Object that a change concerns. Two changes of the same object coalesce.
 using Object = std::variant<resource::Key, base::EngineId, base::ReplicaId, MembershipObject>;
 
 Object objectOf(const protocol::Change& change) {
--- a/src/control/change_history.h
+++ b/src/control/change_history.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The latest changes of the cell's state, by log index, for deltas to watchers.
+/// The latest changes of the cell's state, by log index, from which deltas for watchers are built.
 
 #include <cstddef>
 #include <deque>
@@ -12,17 +12,18 @@
 
 namespace walnut::control {
 
-/// Bounded by a number of changes; the oldest are forgotten first, whole indexes at a time.
+/// History of changes, bounded by their number. The oldest changes are removed first, all changes
+/// of one index together.
 class ChangeHistory {
  public:
   explicit ChangeHistory(std::size_t keepChanges) : keepChanges_(keepChanges) {}
 
   void record(consensus::LogIndex index, std::vector<protocol::Change> changes);
-  /// Forgets everything; changes up to and including `index` are unknown from now on.
+  /// Clears the history; changes up to and including `index` are unknown from now on.
   void startAt(consensus::LogIndex index);
 
   /// @return changes after `from`, coalesced to the last one of each object, in order of their
-  /// index; nothing if some of them are forgotten.
+  /// index; empty if some of them are no longer kept.
   std::optional<std::vector<protocol::Change>> since(consensus::LogIndex from) const;
 
  private:
--- a/src/control/claim_service.cpp
+++ b/src/control/claim_service.cpp
@@ -5,7 +5,7 @@
 namespace walnut::control {
 
 namespace {
-/// Keeps an entry far below the largest frame: a claim is a few hundred bytes.
+/// Limits the size of an entry to far below the largest frame; a claim takes a few hundred bytes.
 constexpr std::size_t kMaxClaimsPerEntry = 512;
 }  // namespace
 
--- a/src/control/claim_service.h
+++ b/src/control/claim_service.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Claims of idempotency keys at the leader.
+/// Handles claims of idempotency keys on the leader.
 
 #include <vector>
 
@@ -9,9 +9,9 @@
 
 namespace walnut::control {
 
-/// Batches the claims that arrive between two outputs into one log entry. A claim is answered once
-/// its entry is applied. `unavailable` is only said of a claim that is in no log: a router that
-/// hears nothing asks again, and the key is granted again to the same request.
+/// Batches the claims that arrive between two outputs into one log entry and answers each claim
+/// once its entry is applied. A claim is answered `unavailable` only if it is in no log: a router
+/// that gets no answer asks again, and the key is granted again to the same request.
 class ClaimService {
  public:
   /// Both references outlive this object.
@@ -19,10 +19,10 @@
       : log_(log), actions_(actions) {}
 
   void request(protocol::ConnectionId connection, const protocol::ClaimRequest& request);
-  /// Proposes what has arrived.
+  /// Proposes the claims that have arrived.
   void flush(base::TimePoint now);
   void applied(const AppliedEntry& entry);
-  /// The outcome of entries up to `index` can't be seen any more.
+  /// Drops pending claims up to `index`: a snapshot hides the outcome of their entries.
   void snapshotInstalled(consensus::LogIndex index);
 
  private:
@@ -37,7 +37,8 @@
 
   CommandLog& log_;
   std::vector<ControllerAction>& actions_;
-  std::vector<ClaimKey> claims_;  ///< Arrived since the last flush; one for each of askers_.
+  /// Claims that arrived since the last flush, one for each of askers_.
+  std::vector<ClaimKey> claims_;
   Askers askers_;
   PendingEntries<Askers> pending_;
 };
--- a/src/control/claim_table.h
+++ b/src/control/claim_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Claimed idempotency keys of requests that may not be repeated.
+/// Table of claimed idempotency keys, for requests that may not be repeated.
 
 #include <deque>
 #include <map>
@@ -12,33 +12,37 @@
 
 namespace walnut::control {
 
-/// Invariant: a key whose claim was granted is kept until no request issued before the grant can
-/// be granted any more (claim window plus clock skew), so it is granted to one request only.
+/// Grants each idempotency key to one request only.
+/// Invariant: a key whose claim was granted is kept until no request issued before the grant can be
+/// granted any more, that is for the claim window plus the clock skew.
 ///
-/// Why the sum: a resend carries the time of first issue. Clocks differ by at most the skew, so a
-/// request issued before the grant at `t` says at most `t + skew`; it is refused as expired as soon
-/// as that lies more than the window in the past, which is when the claim is dropped. A time of
-/// issue more than the skew ahead of the cell's would outlive the claim and is refused at once.
-/// A cell that replaces a lost one knows nothing of the claims granted there, so it grants nothing
-/// issued before its founding; docs/OPERATIONS.md says how long to wait before it is founded.
+/// The sum is needed because a resend carries the time of first issue. Clocks differ by at most the
+/// skew, so a request issued before the grant at `t` carries at most `t + skew`. It is refused as
+/// expired as soon as that time lies more than the window in the past, which is when the claim is
+/// removed. A time of issue more than the skew ahead of the cell's time would outlive the claim and
+/// is refused immediately.
+/// A cell that replaces a lost one does not know the claims granted there, so it grants nothing
+/// issued before it was founded; docs/OPERATIONS.md says how long to wait before founding it.
 class ClaimTable {
  public:
   ClaimTable(base::Duration window, base::Duration clockSkew)
       : window_(window), clockSkew_(clockSkew) {}
   ~ClaimTable() = default;
-  ClaimTable(const ClaimTable&) = delete;  // The order holds places in the map.
+  ClaimTable(const ClaimTable&) = delete;  // oldestFirst_ holds iterators into the map.
   ClaimTable& operator=(const ClaimTable&) = delete;
   ClaimTable(ClaimTable&&) = default;
   ClaimTable& operator=(ClaimTable&&) = default;
 
+  /// Claims a key.
   /// @param now time of the state machine; never less than in an earlier call.
   ClaimOutcome claim(const ClaimKey& claim, base::TimePoint now);
-  /// The cell's first command was applied at `now`. What was issued before may have been granted by
-  /// a cell that this one replaces after its disks were lost: it is refused as expired.
+  /// Sets the time at which the cell's first command was applied. A request issued earlier may have
+  /// been granted by a cell that this one replaces after its disks were lost, so it is refused as
+  /// expired.
   void foundedAt(base::TimePoint now) { foundedAt_ = now; }
   base::TimePoint foundedAt() const { return foundedAt_; }
 
-  /// Drops what the window no longer needs. Constant time for each dropped claim.
+  /// Removes claims that the window no longer covers, in constant time for each claim.
   void expire(base::TimePoint now);
 
   struct Claim {
@@ -59,7 +63,7 @@
   base::Duration clockSkew_;
   base::TimePoint foundedAt_;
   Claims claims_;
-  std::deque<Claims::const_iterator> oldestFirst_;  ///< All claims by claimedAt.
+  std::deque<Claims::const_iterator> oldestFirst_;  ///< All claims in order of claimedAt.
 };
 
 }  // namespace walnut::control
--- a/src/control/command_log.h
+++ b/src/control/command_log.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Proposing commands to the replicated log, and remembering who waits for which entry.
+/// Proposes commands to the replicated log and tracks who waits for which entry.
 
 #include <map>
 #include <optional>
@@ -15,19 +15,19 @@
 
 namespace walnut::control {
 
-/// A committed entry after the state machine has taken it in.
+/// A committed entry that the state machine has applied.
 struct AppliedEntry {
   consensus::LogIndex index = 0;
   consensus::Term term = 0;
   ApplyResult result;
 };
 
-/// Stamps and encodes commands. Holds no state of its own.
+/// Adds the time to commands, encodes them and proposes them to Raft. It has no state of its own.
 class CommandLog {
  public:
   explicit CommandLog(consensus::Raft& raft) : raft_(raft) {}
 
-  /// @return the index of the entry, or `notLeader`: then it was not appended anywhere.
+  /// @return the index of the entry, or `notLeader`, in which case it was not appended anywhere.
   base::Result<consensus::LogIndex> propose(base::TimePoint now, CommandBody body);
   consensus::Term term() const { return raft_.status().term; }
 
@@ -35,17 +35,17 @@
   consensus::Raft& raft_;
 };
 
-/// Those who wait for entries that this server has appended as leader. An entry is known to be
-/// void once another term's entry is applied at its index.
+/// Tracks the waiters for entries that this server has appended as leader. An entry is known to be
+/// void once an entry of another term is applied at its index.
 template <class Waiter>
 class PendingEntries {
  public:
   struct Settled {
     Waiter waiter;
-    bool applied = false;  ///< False: the entry was replaced and never takes effect.
+    bool applied = false;  ///< False if the entry was replaced and never takes effect.
   };
 
-  /// @return the former waiter at that index, whose entry was replaced.
+  /// @return the previous waiter at this index, whose entry was replaced.
   std::optional<Waiter> add(consensus::LogIndex index, consensus::Term term, Waiter waiter) {
     std::optional<Waiter> replaced;
     const auto found = pending_.find(index);
@@ -57,7 +57,7 @@
     return replaced;
   }
 
-  /// @return who waited for the entry at this index, if anyone did.
+  /// @return the waiter for the entry at this index, if there is one.
   std::optional<Settled> settle(const AppliedEntry& entry) {
     const auto found = pending_.find(entry.index);
     if (found == pending_.end()) {
@@ -68,7 +68,9 @@
     return settled;
   }
 
-  /// A snapshot took the place of the entries up to `index`: their outcome can't be seen here.
+  /// Removes the waiters for entries up to `index`, which a snapshot has replaced: their outcome is
+  /// not visible here.
+  /// @return the removed waiters.
   std::vector<Waiter> dropUpTo(consensus::LogIndex index) {
     std::vector<Waiter> dropped;
     const auto end = pending_.upper_bound(index);
--- a/src/control/controller_impl.cpp
+++ b/src/control/controller_impl.cpp
@@ -10,7 +10,8 @@
 namespace walnut::control {
 
 namespace {
-/// A snapshot is taken once the log since the last one is this part of the last one's size.
+/// A snapshot is taken once the log since the last one reaches this fraction (1/n) of that
+/// snapshot's size.
 constexpr std::size_t kSnapshotShare = 4;
 }  // namespace
 
@@ -191,8 +192,9 @@
   }
 }
 
-/// A snapshot that this version can't read halts the server: entries applied to an older state
-/// would make another one. It goes on as a voter, and its routers notice that it is behind.
+/// Installs a snapshot. A snapshot that this version cannot read halts the server: entries applied
+/// to an older state would produce a different one. The server continues as a voter, and its
+/// routers notice that it is behind.
 void ControllerImpl::install(const consensus::Snapshot& snapshot) {
   if (state_.restoreSnapshot(snapshot.data).has_error()) {
     halted_ = true;
@@ -209,7 +211,8 @@
   moreToDo_ = true;
 }
 
-/// Claims are entries that change nothing that anyone watches.
+/// Announces the changes of newly applied entries. Entries with claims change nothing that watchers
+/// see.
 void ControllerImpl::stateChanged(consensus::LogIndex from) {
   StateChange change;
   change.changes = state_.history().since(from);
@@ -268,7 +271,8 @@
   return {};
 }
 
-/// A large state is not encoded for little log: the work stays in proportion to what was written.
+/// Takes a snapshot when one is due. A large state is not encoded after only little log, so that
+/// the work stays in proportion to what was written.
 void ControllerImpl::compactIfDue() {
   const bool enoughEntries =
       state_.appliedIndex() >= snapshotIndex_ + options_.snapshotEveryEntries;
--- a/src/control/controller_impl.h
+++ b/src/control/controller_impl.h
@@ -20,10 +20,10 @@
 
 namespace walnut::control {
 
-/// Inputs are handed to the services, one handler for each; outputs are worked out when they are
-/// taken, so that all inputs since share one batch of the log. Invariants:
-/// - Raft's messages leave together with the batch that they rely on, or after it;
-/// - answers to writes and claims are of entries that are committed and applied here;
+/// Implements Controller. Each input is passed to the service that handles it; outputs are computed
+/// when they are taken, so that all inputs since then share one batch of the log. Invariants:
+/// - Raft's messages are sent together with the batch that they depend on, or after it;
+/// - writes and claims are answered only when their entries are committed and applied here;
 /// - leadership_ is present exactly while this server leads and has applied an entry of its term.
 class ControllerImpl final : public Controller {
  public:
@@ -53,7 +53,7 @@
   void handle(const Tick& input);
   void handle(const PlannedStop& input);
 
-  /// Messages of peers; those that a server never gets are ignored.
+  /// Handle messages of peers. Messages that are not addressed to a server are ignored.
   void receive(protocol::ConnectionId from, const consensus::Message& message);
   void receive(protocol::ConnectionId from, const protocol::ProbeRequest& probe);
   void receive(protocol::ConnectionId from, const protocol::WatchRequest& request);
@@ -79,8 +79,8 @@
   base::TimePoint now_;
   std::unique_ptr<consensus::Raft> raft_;
   CellState state_;
-  LedgerIndex ledger_;                     ///< Of state_.
-  std::vector<ControllerAction> actions_;  ///< For the next outputs.
+  LedgerIndex ledger_;                     ///< Index of state_.
+  std::vector<ControllerAction> actions_;  ///< Actions for the next outputs.
   CommandLog log_;
   PeerDirectory peers_;
   WatchSessions watches_;
@@ -90,13 +90,14 @@
   ApiService api_;
   std::optional<Leadership> leadership_;
   std::uint64_t nextCall_ = 1;
-  consensus::Term appliedTerm_ = 0;        ///< Of the last entry applied.
-  std::size_t snapshotBytes_ = 0;          ///< Size of the last snapshot taken.
-  std::size_t logBytes_ = 0;               ///< Applied since then.
-  consensus::LogIndex snapshotIndex_ = 0;  ///< Of the last snapshot taken or installed.
-  /// A snapshot could not be read: this server applies nothing further and gives up leadership.
+  consensus::Term appliedTerm_ = 0;  ///< Term of the last applied entry.
+  std::size_t snapshotBytes_ = 0;    ///< Size of the last snapshot taken.
+  std::size_t logBytes_ = 0;         ///< Bytes of log entries applied since the last snapshot.
+  consensus::LogIndex snapshotIndex_ = 0;  ///< Index of the last snapshot taken or installed.
+  /// True after a snapshot could not be read: this server applies no further entries and gives up
+  /// leadership.
   bool halted_ = false;
-  bool moreToDo_ = false;                        ///< The last outputs have given rise to others.
+  bool moreToDo_ = false;  ///< True if taking the last outputs has produced further ones.
   std::optional<base::TimePoint> stopDeadline_;  ///< Set by a planned stop.
   bool stopped_ = false;
 };
--- a/src/control/crash_cover.cpp
+++ b/src/control/crash_cover.cpp
@@ -38,7 +38,7 @@
   const auto is = [&candidate](const Crashes& each) { return each == candidate; };
   const bool isLargest = std::any_of(largest_.begin(), largest_.end(), is);
   if (!isLargest || std::count_if(all_.begin(), all_.end(), is) > 1) {
-    return false;  // The one that it is a part of, or that is its equal, does as well.
+    return false;  // A superset, or an equal candidate, explains the same crashes.
   }
   Candidates others = all_;
   std::erase_if(others, is);
--- a/src/control/crash_cover.h
+++ b/src/control/crash_cover.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The fewest requests that explain a set of crashes.
+/// Finds the smallest sets of requests that explain a set of crashes (a minimum set cover).
 
 #include <bitset>
 #include <cstddef>
@@ -8,39 +8,41 @@
 
 namespace walnut::control {
 
-/// Each crash has a cause among the requests that were cut by it, and few requests are causes: of
-/// all ways to explain the crashes those with the fewest causes are the likely ones. A request that
-/// is in all of these is a cause; one that some of them do without may have been merely beside.
+/// Decides which requests are part of every smallest explanation of the crashes.
+/// Each crash is caused by one of the requests that it cut, and few requests cause crashes, so the
+/// explanations with the fewest causes are the likely ones. A request that is in all of these is a
+/// cause; a request that is missing in some of them may just have been on the same workers.
 class CrashCover {
  public:
-  /// Far more crashes at once than any day had of which evidence was kept; beyond, some count as
-  /// one.
+  /// Width of the bit set. It is far above the number of crashes with evidence at one time; beyond
+  /// it, several crashes share a bit.
   static constexpr std::size_t kMostCrashes = 256;
   using Crashes = std::bitset<kMostCrashes>;
   using Candidates = std::vector<Crashes>;
 
-  /// @param candidates the crashes at which each candidate was.
+  /// @param candidates for each candidate request, the crashes that cut it.
   explicit CrashCover(const Candidates& candidates);
 
-  /// @return true if without that candidate more of the others would be needed, or some crash would
-  /// have no cause; false also if that takes too long to find out.
+  /// @return true if without this candidate more of the others would be needed, or some crash would
+  /// remain unexplained; false also if the step limit is reached first.
   bool needs(const Crashes& candidate);
 
  private:
-  /// Causes beyond which no cover is looked for.
+  /// Largest number of causes that is searched for.
   static constexpr std::size_t kMostCauses = 8;
-  /// Steps of all searches together. With 500 suspects at 40 crashes one takes some 10 us, and all
-  /// of them keep the leader for no longer than a plan does.
+  /// Step limit of all searches together. With 500 suspects and 40 crashes one step takes about 10
+  /// us, so all of them block the leader for no longer than a planning run does.
   static constexpr std::size_t kMostSteps = 1000;
 
-  /// @return those that are no part of another.
+  /// @return the candidates that are not a proper subset of another one.
   static Candidates largest(const Candidates& candidates);
-  /// @return the candidates that share crashes with that one, or with one that does.
+  /// @return the candidates that share crashes with this one, directly or through other candidates.
   Candidates connected(const Crashes& candidate) const;
-  /// @return the least number of candidates that have all crashes; kMostCauses + 1: not found.
+  /// @return the smallest number of candidates that cover all crashes; kMostCauses + 1 if none was
+  /// found.
   std::size_t least(const Crashes& crashes, const Candidates& candidates);
   bool coverable(const Crashes& crashes, const Candidates& candidates, std::size_t causes);
-  /// @return the crash that the fewest candidates explain.
+  /// @return the crash that the fewest candidates explain; searching from it prunes the most.
   static std::size_t hardest(const Crashes& crashes, const Candidates& candidates);
 
   const Candidates all_;
--- a/src/control/crash_ledger.h
+++ b/src/control/crash_ledger.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Which requests crash the workers that run them, from what each worker had when it ended.
+/// Finds the requests that crash workers, from the requests that each worker was running or had
+/// queued when it crashed.
 
 #include <algorithm>
 #include <cereal/types/map.hpp>
@@ -18,37 +19,40 @@
 
 namespace crash {
 
-/// Workers that end under one request before it is refused. One crash cuts all that its worker
-/// had, so one is no evidence; a request that is innocent has to be cut, without a sign of an
-/// answer, at three workers in a row, by crashes that nothing else explains. The users' pages allow
-/// three.
+/// Number of crashes after which a request is refused. A crash cuts all requests of its worker, so
+/// a single one is no evidence. A request that is not the cause would have to be cut at three
+/// workers in a row, without any sign of an answer, by crashes that no other request explains. The
+/// user documentation allows three.
 inline constexpr std::size_t kLimit = 3;
-/// The same of a request that was only queued, as far as is known, while another had begun: on the
-/// users' platform it was the latter in 20 of 20 crashes. The pages allow as many sends after the
-/// third crash as before it.
+/// The same limit for a request that is only known to have been queued at the crash, while another
+/// one was already running: on the users' platform the running request was the cause in 20 of 20
+/// crashes. The user documentation allows as many sends after the third crash as before it.
 inline constexpr std::size_t kQueuedLimit = 2 * kLimit;
-/// Crashes at which a request is refused unless others that are refused explain them all: the
-/// users' pages allow three sends after the third crash.
+/// Number of crashes after which a request is refused unless other refused requests explain all of
+/// them: the user documentation allows three sends after the third crash.
 inline constexpr std::size_t kLastLimit = kLimit + 3;
-/// Requests that are kept in mind. A crash names some tens; each needs some 100 bytes.
+/// Maximum number of suspected requests. A crash adds a few tens; each takes about 100 bytes.
 inline constexpr std::size_t kMostSuspects = 512;
 
 }  // namespace crash
 
-/// Evidence is a set: a crash that is told twice, or by several observers, counts once for each
-/// request. The verdict is not stored but follows from the evidence, so that evidence which comes
-/// later, or is taken back, corrects it.
+/// Records which requests were on which crashed workers and derives the requests that cause
+/// crashes.
+/// Evidence is a set: a crash that is reported twice, or by several observers, counts once for each
+/// request. The classification is not stored but derived from the evidence, so that evidence which
+/// arrives later, or is retracted, corrects it.
 ///
-/// Equal on all servers that apply the same calls in the same order.
-/// @tparam Subject what a request is known by. @tparam Worker id of one life of a worker.
+/// All servers that apply the same calls in the same order hold the same state.
+/// @tparam Subject identifies a request. @tparam Worker id of one incarnation of a worker.
 template <class Subject, class Worker>
 class CrashLedger {
  public:
-  /// What speaks against one request.
+  /// Crashes that a request may have caused.
   struct Evidence {
-    std::set<Worker> crashes;     ///< That it may have caused.
-    std::set<Worker> queuedAt;    ///< Crashes that another request had begun before.
-    std::uint64_t lastCrash = 0;  ///< Number of the latest one.
+    std::set<Worker> crashes;  ///< Crashes that the request may have caused.
+    /// Crashes at which it was queued while another request was running.
+    std::set<Worker> queuedAt;
+    std::uint64_t lastCrash = 0;  ///< Sequence number of the latest crash.
 
     bool empty() const { return crashes.empty() && queuedAt.empty(); }
     template <class Archive>
@@ -57,8 +61,8 @@
     }
   };
 
-  /// The worker has ended. @param begun requests that it had begun to work on, without a part of
-  /// their answers. @param queued those of which not even that is known.
+  /// Records the crash of a worker. @param begun requests that were running on it, without any part
+  /// of an answer yet. @param queued requests of which it is unknown whether they were running.
   void add(const Worker& worker, const std::vector<Subject>& begun,
            const std::vector<Subject>& queued) {
     if (!begun.empty() && begunAt_.insert(worker).second) {
@@ -77,7 +81,7 @@
     }
   }
 
-  /// The worker had not ended after all.
+  /// Removes the evidence of a crash that turned out not to have happened.
   void retract(const Worker& worker) {
     for (auto& [request, evidence] : evidence_) {
       evidence.crashes.erase(worker);
@@ -87,14 +91,15 @@
     std::erase_if(evidence_, [](const auto& entry) { return entry.second.empty(); });
   }
 
-  /// The request was answered, so that it crashes nobody.
+  /// Removes the evidence against a request that was answered and therefore causes no crashes.
   void acquit(const Subject& request) {
     evidence_.erase(request);
     forgetUnused();
   }
 
-  /// The evidence is old. What was refused may be tried once more: what crashed its workers may be
-  /// mended by now, and one crash shows if it is not. The rest is forgotten.
+  /// Reduces old evidence. A refused request may be tried once more, because the fault that crashed
+  /// its workers may be fixed by now; one further crash shows if it is not. All other evidence is
+  /// removed.
   void age(const Subject& request) {
     const auto found = evidence_.find(request);
     if (found == evidence_.end()) {
@@ -124,12 +129,14 @@
   const std::map<Subject, Evidence>& evidence() const { return evidence_; }
   bool empty() const { return evidence_.empty(); }
 
-  /// @return the requests that are to be refused: of those that have the limit of crashes the ones
-  /// without which more requests would have to crash workers (CrashCover), among all that have one
-  /// crash less or more. One that was beside several causes has at times more crashes than each of
-  /// them. Requests with just the same crashes can't be told apart: at the limit they are let go
-  /// on, since the next crash has mostly only one of them; beyond it two are treated as one. At
-  /// `kLastLimit` all are refused whose crashes those that are needed do not explain.
+  /// Returns the requests to refuse. These are, among the requests at the crash limit, those
+  /// without which more requests would be needed to explain all crashes (see CrashCover); requests
+  /// one crash below the limit take part as explanations. A request that was on workers with
+  /// several different causes can have more crashes than each of the causes. Requests with exactly
+  /// the same crashes cannot be told apart: at the limit they are allowed to continue, since the
+  /// next crash mostly involves only one of them; beyond it two of them are treated as one. At
+  /// `kLastLimit` every request is refused whose crashes are not explained by the requests already
+  /// found.
   std::set<Subject> guilty() const {
     std::set<Subject> guilty;
     Groups groups;
@@ -147,8 +154,8 @@
     return guilty;
   }
 
-  /// @return true if other requests were at each crash that this one may have caused: else it did
-  /// cause one.
+  /// @return true if each crash that this request may have caused may also have been caused by
+  /// another request. If not, the request did cause one.
   bool contested(const Subject& request) const {
     const std::set<Worker>& crashes = evidence_.at(request).crashes;
     return std::all_of(crashes.begin(), crashes.end(), [&](const Worker& worker) {
@@ -158,7 +165,7 @@
     });
   }
 
-  /// One crash from being refused, or more.
+  /// @return true if the request is at most one crash below a limit.
   static bool close(const Evidence& evidence) {
     return evidence.crashes.size() + 1 >= crash::kLimit ||
            evidence.crashes.size() + evidence.queuedAt.size() + 1 >= crash::kQueuedLimit;
@@ -170,12 +177,13 @@
   }
 
  private:
-  /// Where requests were: the crashes that they may have caused, and those that another had begun
-  /// before, which they may have caused all the same.
+  /// Crashes of requests: first those that they may have caused, then those at which they were
+  /// queued while another request was running, which they may have caused nevertheless.
   using Places = std::pair<std::set<Worker>, std::set<Worker>>;
   using Groups = std::map<Places, std::vector<Subject>>;
 
-  /// @return those at the limit or beyond that no explanation does without.
+  /// @return the groups of requests at the limit or above that are part of every smallest
+  /// explanation.
   static std::vector<const std::vector<Subject>*> needed(const Groups& groups) {
     const CrashCover::Candidates masks = masksOf(groups);
     CrashCover cover(masks);
@@ -201,8 +209,9 @@
     return found;
   }
 
-  /// @return true if what is needed of requests with the same crashes may be refused: one is the
-  /// cause, or two of which either may be; more of them only at the last limit.
+  /// @return true if a group of requests with the same crashes, found to be needed, may be refused:
+  /// a single request at the limit, two of which either may be the cause one crash later, and
+  /// larger groups only at the last limit.
   static bool toldApart(std::size_t crashes, std::size_t requests) {
     if (requests > 2) {
       return crashes >= crash::kLastLimit;
@@ -233,7 +242,8 @@
     return evidence;
   }
 
-  /// A request is now known to have begun there: the others may only have been queued.
+  /// A request is now known to have been running on the worker: the others may only have been
+  /// queued.
   void demote(const Worker& worker) {
     for (auto& [request, evidence] : evidence_) {
       if (evidence.crashes.erase(worker) != 0) {
@@ -242,7 +252,8 @@
     }
   }
 
-  /// The one with the fewest crashes, and of those the one whose latest is the oldest.
+  /// Removes the request with the fewest crashes; among equals, the one whose latest crash is the
+  /// oldest.
   void dropLeast() {
     const auto weight = [](const Evidence& evidence) {
       return std::tuple(evidence.crashes.size(), evidence.queuedAt.size(), evidence.lastCrash);
@@ -260,7 +271,8 @@
   }
 
   std::map<Subject, Evidence> evidence_;
-  std::set<Worker> begunAt_;  ///< Workers that had begun one of the requests that they ended with.
+  /// Crashed workers on which at least one request was known to be running.
+  std::set<Worker> begunAt_;
   std::uint64_t count_ = 0;
 };
 
--- a/src/control/demand_table.h
+++ b/src/control/demand_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Demand as the routers last reported it, added up for each target.
+/// Demand that the routers last reported, summed for each target.
 
 #include <map>
 #include <optional>
@@ -14,45 +14,46 @@
 
 namespace walnut::control {
 
-/// What callers name: a model, or an adapter over one.
+/// Target of requests: a model, or an adapter on a model.
 struct DemandTarget {
   std::string model;
   std::string adapter;  ///< Empty: the model itself.
-  /// A former version that streams have to go on with; empty: the active one.
+  /// A previous version that open streams must continue with; empty: the active version.
   std::string version;
   auto operator<=>(const DemandTarget&) const = default;
 };
 
-/// Sum over all routers.
+/// Demand for one target, summed over all routers.
 struct TotalDemand {
   std::uint32_t waitingInteractive = 0;
   std::uint32_t waitingBatch = 0;
   std::uint32_t running = 0;
-  std::optional<base::TimePoint> earliestDeadline;  ///< Of the waiting ones.
+  std::optional<base::TimePoint> earliestDeadline;  ///< Earliest deadline of the waiting requests.
   base::TimePoint lastArrival;
 
   std::uint32_t waiting() const { return waitingInteractive + waitingBatch; }
   std::uint32_t load() const { return waiting() + running; }
 };
 
-/// State, not events: each router's latest report counts once, however often it arrives.
-/// Invariant: a router that has been silent for the lifetime has no entries.
+/// Holds the latest demand report of each router and the totals per target. Reports are states, not
+/// events: each router's latest report counts once, however often it arrives.
+/// Invariant: a router without a report within the lifetime has no entries.
 class DemandTable {
  public:
   explicit DemandTable(base::Duration lifetime) : lifetime_(lifetime) {}
 
-  /// Takes in a report unless a newer one of the router is known.
-  /// @return true if it was taken.
+  /// Applies a report unless a newer one from the router is known.
+  /// @return true if it was applied.
   bool take(base::TimePoint now, const protocol::DemandReport& report);
-  /// @return routers that have reported and are not silent.
+  /// @return the number of routers with an unexpired report.
   std::size_t routerCount() const { return routers_.size(); }
-  /// Drops the entries of silent routers.
+  /// Removes the entries of routers whose reports have expired.
   void expire(base::TimePoint now);
-  /// @return when `expire` has something to do.
+  /// @return the time when the next router expires.
   base::TimePoint nextExpiry() const;
 
-  /// @return models of which, since the last call, the number of waiting requests has changed, or a
-  /// target has begun or ceased to run.
+  /// @return models for which, since the last call, the number of waiting requests changed, or a
+  /// target started or stopped running requests.
   std::set<std::string> takeChangedModels() { return std::exchange(changedModels_, {}); }
   bool changed() const { return !changedModels_.empty(); }
 
@@ -75,7 +76,7 @@
   std::map<DemandTarget, std::map<base::RouterId, protocol::Demand>> entries_;
   std::map<DemandTarget, TotalDemand> totals_;
   std::set<std::string> changedModels_;
-  std::set<DemandTarget> stale_;  ///< Their totals are to be added up again.
+  std::set<DemandTarget> stale_;  ///< Targets whose totals must be recomputed.
 };
 
 }  // namespace walnut::control
--- a/src/control/engine_monitor.cpp
+++ b/src/control/engine_monitor.cpp
@@ -5,10 +5,10 @@
 namespace walnut::control {
 
 namespace {
-/// An engine that holds nothing is polled at this multiple of the interval: only its own word that
-/// it is leaving can be new.
+/// Factor by which the report interval grows for an engine that holds nothing: the only news it can
+/// report is that it is leaving.
 constexpr int kEmptyFactor = 2;
-/// Report intervals without a report after which an engine gets no new replicas.
+/// Number of report intervals without a report after which an engine gets no new replicas.
 constexpr int kResponsiveIntervals = 6;
 }  // namespace
 
@@ -33,7 +33,7 @@
     channel.order.reset();
   }
   channel.endpoint = endpoint;
-  channel.report.reset();  // Another process may answer there.
+  channel.report.reset();  // A different process may answer at the new endpoint.
   setDue(engine, channel, now);
 }
 
--- a/src/control/engine_monitor.h
+++ b/src/control/engine_monitor.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The leader's calls of engines: reports at an interval, and orders, under fencing tokens.
+/// The leader's calls to engines: report requests at an interval, and orders, both with fencing
+/// tokens.
 
 #include <algorithm>
 #include <cstdint>
@@ -17,66 +18,70 @@
 
 namespace walnut::control {
 
-/// A call that has ended.
+/// Result of a finished call to an engine.
 struct FinishedCall {
   base::EngineId engine;
-  std::optional<engine::Order> order;  ///< The order that was sent; nothing: a report request.
+  std::optional<engine::Order> order;  ///< Order that was sent; empty for a report request.
   engine::CallResult result;
 };
 
-/// One object for each term that this server leads; what it holds was learnt in this term only.
+/// Polls engines for reports and sends them orders during one term of leadership. All its data
+/// comes from this term.
 /// Invariants:
-/// - at most one call to an engine is under way, so that a later token never overtakes an earlier
+/// - at most one call to an engine is in flight, so that a later token never overtakes an earlier
 ///   one of the same leader;
 /// - an order goes only to an engine that has reported in this term, which has fenced off all
-///   former leaders;
-/// - an engine that refused a token as stale has seen a later leader: it gets no more orders in
+///   previous leaders;
+/// - an engine that refused a token as stale has seen a later leader and gets no more orders in
 ///   this term.
 class EngineMonitor {
  public:
-  /// All references outlive this object. @param nextCall numbers calls, over all terms.
+  /// All references outlive this object.
+  /// @param nextCall counter that numbers calls over all terms.
   EngineMonitor(const ControllerOptions& options, consensus::Term term, std::uint64_t& nextCall,
                 std::vector<ControllerAction>& actions)
       : options_(options), term_(term), nextCall_(nextCall), actions_(actions) {}
 
-  /// The engine is to be polled, at this endpoint.
+  /// Starts polling the engine at this endpoint.
   void track(base::TimePoint now, const base::EngineId& engine, const base::Endpoint& endpoint);
   void forget(const base::EngineId& engine);
-  /// @return all engines that are polled.
+  /// @return all polled engines.
   std::set<base::EngineId> engines() const;
-  /// While an engine loads or unloads, it is polled more often.
+  /// Sets whether the engine loads or unloads; such an engine is polled more often.
   void setBusy(base::TimePoint now, const base::EngineId& engine, bool busy);
 
   /// Sends the report requests that are due.
-  /// @param mayCall whether the leader's lease is valid.
+  /// @param mayCall true if the leader's lease is valid.
   void tick(base::TimePoint now, bool mayCall);
   base::TimePoint nextWakeup() const;
 
   /// @return true if an order can be sent to the engine now.
   bool mayOrder(const base::EngineId& engine) const;
-  /// Sends an order under a fresh token. Only if mayOrder(). @return its token.
+  /// Sends an order with a new fencing token. Requires mayOrder().
+  /// @return the token.
   engine::FencingToken sendOrder(base::TimePoint now, const base::EngineId& engine,
                                  engine::Order order);
-  /// @return whom the call went to; nothing if it is of a former term or to a former endpoint.
+  /// @return the engine that was called; empty if the call belongs to a previous term or endpoint.
   std::optional<base::EngineId> engineOf(const EngineCallFinished& call) const;
-  /// @return nothing if the call is of a former term or to a former endpoint.
+  /// Handles the result of a call.
+  /// @return the finished call; empty if it belongs to a previous term or endpoint.
   std::optional<FinishedCall> callFinished(base::TimePoint now, const EngineCallFinished& call);
 
   /// @return the engine's latest report in this term, or null.
   const engine::Report* report(const base::EngineId& engine) const;
-  /// @return true if the engine has reported lately.
+  /// @return true if the engine has reported recently.
   bool responsive(base::TimePoint now, const base::EngineId& engine) const;
-  /// Whether routers together have seen the engine fail what it is sent.
+  /// Sets whether the routers have reported that the engine fails requests.
   void setFailing(const base::EngineId& engine, bool failing);
   bool failing(const base::EngineId& engine) const { return failing_.contains(engine); }
-  /// @return true if the engine's replicas serve, and it may be given new ones: it has reported
-  /// lately and does not fail what it is sent.
+  /// @return true if the engine's replicas count as serving and it may get new ones: it has
+  /// reported recently and does not fail requests.
   bool serves(base::TimePoint now, const base::EngineId& engine) const {
     return responsive(now, engine) && !failing(engine);
   }
-  /// @return when the engine last reported; nothing if it has not in this term.
+  /// @return the time of the engine's last report; empty if there was none in this term.
   std::optional<base::TimePoint> reportedAt(const base::EngineId& engine) const;
-  /// @return where a checkpoint is cached at the engine, by its latest report.
+  /// @return the nearest cache tier that holds the checkpoint on the engine, by its latest report.
   std::optional<engine::CacheTier> cachedAt(const base::EngineId& engine,
                                             const std::string& checkpoint) const;
 
@@ -84,8 +89,8 @@
   struct Channel {
     base::Endpoint endpoint;
     base::TimePoint reportDueAt;
-    std::optional<std::uint64_t> call;   ///< Under way.
-    std::optional<engine::Order> order;  ///< What `call` carries, if it is an order.
+    std::optional<std::uint64_t> call;   ///< Number of the call in flight.
+    std::optional<engine::Order> order;  ///< Order carried by `call`, if it is one.
     bool busy = false;
     bool fencedOff = false;
     std::optional<engine::Report> report;
@@ -107,9 +112,9 @@
   std::uint64_t sequence_ = 0;
   bool mayCall_ = false;
   std::map<base::EngineId, Channel> channels_;
-  std::map<std::uint64_t, base::EngineId> calls_;  ///< Under way.
+  std::map<std::uint64_t, base::EngineId> calls_;  ///< Calls in flight.
   std::set<base::EngineId> failing_;
-  /// Report requests to come, of engines without a call under way.
+  /// Scheduled report requests of engines without a call in flight.
   std::set<std::pair<base::TimePoint, base::EngineId>> due_;
 };
 
--- a/src/control/engine_registration.h
+++ b/src/control/engine_registration.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What the cell's state should say of an engine, from what the platform and the engine say.
+/// Determines an engine's record in the cell's state from the platform list and the engine's
+/// report.
 
 #include <optional>
 
@@ -9,17 +10,18 @@
 
 namespace walnut::control {
 
-/// Sources of an engine's record; null: nothing is known from there.
+/// Sources of an engine's record; null if the source has nothing about the engine.
 struct EngineSources {
-  const resource::Engine* record = nullptr;          ///< In the cell's state.
-  const engine::PlatformMachine* machine = nullptr;  ///< In the latest platform list.
-  const engine::Report* report = nullptr;            ///< Under the present term.
-  bool hasList = false;  ///< A platform list was read: without `machine` it lacks the engine.
+  const resource::Engine* record = nullptr;          ///< Record in the cell's state.
+  const engine::PlatformMachine* machine = nullptr;  ///< Entry in the latest platform list.
+  const engine::Report* report = nullptr;            ///< Report of the current term.
+  /// True if a platform list was read; if `machine` is null, the list lacks the engine.
+  bool hasList = false;
 };
 
-/// An engine is leaving as soon as either source says so. It is live again only once both are
-/// known and neither does.
-/// @return the record to register; nothing if the state has it already.
+/// Computes the record of an engine. An engine is leaving as soon as either source says so; it is
+/// live again only once both sources are known and neither does.
+/// @return the record to register; empty if the state has it already.
 std::optional<resource::Engine> wantedRecord(const EngineSources& sources);
 
 }  // namespace walnut::control
--- a/src/control/idle_gap_histogram.h
+++ b/src/control/idle_gap_histogram.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// How long a model or adapter stayed unused between two uses: a bounded histogram that forgets.
+/// Histogram of the idle time between two uses of a model or adapter. It is bounded, and old gaps
+/// lose weight.
 
 #include <boost/histogram/axis/regular.hpp>
 #include <boost/histogram/histogram.hpp>
@@ -22,16 +23,19 @@
   double middle() const { return (from + to) / 2; }
 };
 
-/// Bars of equal ratio from 5 seconds to two days: a bar is a sixth wide, which is as exact as a
-/// decision to hold or to wake needs, and takes some 0.5 KB for each model and adapter. Invariant:
-/// the total weight is at most `limit`: then all bars are halved, so that old habits fade.
+/// Histogram of idle gaps with bars of equal ratio from 5 seconds to two days. A bar is one sixth
+/// wide, which is precise enough to decide whether to hold or preload a model, and a histogram
+/// takes about 0.5 KB for each model and adapter. Invariant: the total weight is at most `limit`;
+/// when it is exceeded all bars are halved, so that old usage patterns fade.
 class IdleGapHistogram {
  public:
   static constexpr unsigned kBars = 64;
-  /// Shorter gaps are no idleness: the leader hears of running requests each 5 s at the latest.
+  /// Shorter gaps do not count as idle time: running requests are reported to the leader at least
+  /// every 5 s.
   static constexpr double kShortest = 5.0;
   static constexpr double kLongest = 2.0 * 24 * 3600;
-  /// Of one model: some weeks of a model that is woken a few times a day.
+  /// Default weight limit for one model: some weeks of a model that is loaded on demand a few times
+  /// a day.
   static constexpr double kOwnLimit = 128;
 
   explicit IdleGapHistogram(double limit = kOwnLimit);
--- a/src/control/keep_alive_policy.cpp
+++ b/src/control/keep_alive_policy.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// Gaps that the distribution of all models counts for.
+/// Number of gaps that the distribution of all models counts as.
 constexpr double kPriorGaps = 2;
-/// Loading ahead must save this much more than it costs: it takes the store's bandwidth, and the
-/// distribution is only an estimate.
+/// Loading ahead must save at least this many times its cost, because it uses bandwidth of the
+/// store and the distribution is only an estimate.
 constexpr double kWakeMargin = 1.25;
 
 base::Duration toDuration(double seconds) {
   return base::Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-/// Own gaps and the prior, with weights that add up to 1; empty if nothing was seen of any model.
+/// Combines the model's own gaps with the prior. The weights add up to 1; empty if no gaps of any
+/// model were seen.
 std::vector<GapBar> distributionOf(const KeepAliveSubject& subject) {
   std::vector<GapBar> bars = subject.all.bars();
   const double prior = subject.all.total();
@@ -38,7 +39,8 @@
   return bars;
 }
 
-/// Expected cost of every choice at the ends of the bars.
+/// Computes the expected cost of each possible hold time and preload period; both end at bounds of
+/// histogram bars.
 class CostTable {
  public:
   CostTable(const std::vector<GapBar>& bars, double share, double coldCost)
@@ -47,15 +49,16 @@
   struct Wake {
     double saved = 0;
     std::size_t from = 0;  ///< Index of the first bar.
-    std::size_t to = 0;    ///< Index behind the last bar; equal to `from`: none.
+    /// Index after the last bar; equal to `from` if there is no preload period.
+    std::size_t to = 0;
   };
 
   HoldPlan cheapest() const {
     const std::vector<Wake> wakes = bestWakes();
     double bestCost = std::numeric_limits<double>::infinity();
     HoldPlan best;
-    double idleOfEnded = 0;  // Of gaps that end within the hold time.
-    double remaining = 1;    // Probability of the others.
+    double idleOfEnded = 0;  // Idle cost of gaps that end within the hold time.
+    double remaining = 1;    // Probability of longer gaps.
     for (std::size_t index = 0; index <= bars_.size(); ++index) {
       const double hold = index == 0 ? 0 : bars_[index - 1].to;
       const Wake& wake = wakes[index];
@@ -84,10 +87,11 @@
     return plan;
   }
 
-  /// @return for each end of a bar the best wake period that begins a bar later or still later.
+  /// @return for each end of a bar, the best preload period that begins at least one bar later.
   std::vector<Wake> bestWakes() const {
     std::vector<Wake> best(bars_.size() + 1);
-    std::vector<double> later(bars_.size() + 1, 0);  // Probability of a gap in this bar or behind.
+    // Probability of a gap in this bar or a later one.
+    std::vector<double> later(bars_.size() + 1, 0);
     for (std::size_t index = bars_.size(); index-- > 0;) {
       later[index] = later[index + 1] + bars_[index].weight;
     }
@@ -134,13 +138,13 @@
   const double coldCost = costOf(subject.coldStart);
   const std::vector<GapBar> bars = distributionOf(subject);
   if (bars.empty()) {
-    // Nothing is known of any gap: holding for as long as a cold start is worth costs at most twice
-    // what the best choice would (the ski-rental bound).
+    // No gaps are known: holding for as long as a cold start is worth costs at most twice as much
+    // as the best choice (the ski-rental bound).
     return {toDuration(coldCost / std::max(subject.acceleratorShare, 1e-3)), {}, {}};
   }
   HoldPlan plan = CostTable(bars, subject.acceleratorShare, coldCost).cheapest();
   if (plan.wakeUntil > plan.wakeAt) {
-    // Ready by the time from which the next use is expected.
+    // The load starts early enough to be ready when the next use is expected.
     plan.wakeAt = std::max(*plan.hold, plan.wakeAt - subject.coldStart);
   }
   return plan;
--- a/src/control/keep_alive_policy.h
+++ b/src/control/keep_alive_policy.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// How long an idle replica is held, and when a model is loaded ahead of its next use. Pure: a plan
-/// follows from the budget's settings, the idle gaps that were seen, and what a cold start costs.
+/// Keep-alive policies: how long an idle replica is held, and when a model is loaded ahead of its
+/// next use. A policy performs no I/O; its plan follows from the budget's settings, the observed
+/// idle gaps and the cost of a cold start.
 
 #include <memory>
 #include <optional>
@@ -12,25 +13,28 @@
 
 namespace walnut::control {
 
-/// Plan for one idle period; all times count from the last use.
+/// Keep-alive plan for one idle period. All times count from the last use.
 struct HoldPlan {
-  std::optional<base::Duration> hold;  ///< Nothing: until its memory is wanted.
-  /// A period in which it is loaded ahead and held; empty if both are equal.
+  /// How long the replica is held; empty: until its memory is needed.
+  std::optional<base::Duration> hold;
+  /// Period in which the model is loaded ahead and held; empty if both times are equal.
   base::Duration wakeAt{};
   base::Duration wakeUntil{};
 
-  /// @return true if a replica without use for `idle` is held.
+  /// @return true if a replica that has been idle for `idle` is held.
   bool holdsAt(base::Duration idle) const { return !hold || idle < *hold || wakesAt(idle); }
-  /// @return true if a model without use for `idle` is to be loaded ahead.
+  /// @return true if a model that has been idle for `idle` is to be loaded ahead.
   bool wakesAt(base::Duration idle) const { return wakeAt <= idle && idle < wakeUntil; }
 };
 
-/// What a plan is for.
+/// Input of a plan: the usage and cost of one model or adapter.
 struct KeepAliveSubject {
-  const IdleGapHistogram* own = nullptr;  ///< Null: nothing was seen of it.
-  const IdleGapHistogram& all;            ///< Of all models and adapters together.
-  double acceleratorShare = 0;            ///< Of one accelerator's memory; 0 .. 1.
-  base::Duration coldStart{};             ///< Expected, from where the weights are now.
+  /// Idle gaps of the model or adapter itself; null if none were seen.
+  const IdleGapHistogram* own = nullptr;
+  const IdleGapHistogram& all;  ///< Idle gaps of all models and adapters together.
+  double acceleratorShare = 0;  ///< Fraction of one accelerator's memory that it uses; 0 .. 1.
+  /// Expected duration of a cold start from the current location of the weights.
+  base::Duration coldStart{};
 };
 
 class KeepAlivePolicy {
@@ -39,7 +43,7 @@
   virtual HoldPlan plan(const KeepAliveSubject& subject) const = 0;
 };
 
-/// The same idle time for all; nothing: until its memory is wanted.
+/// Holds every replica for the same idle time; without a time, until its memory is needed.
 class FixedIdleTimeout : public KeepAlivePolicy {
  public:
   explicit FixedIdleTimeout(std::optional<base::Duration> hold) : hold_(hold) {}
@@ -49,7 +53,7 @@
   std::optional<base::Duration> hold_;
 };
 
-/// Loaded whenever there is room.
+/// Keeps the model loaded whenever memory is free.
 class AlwaysResident : public KeepAlivePolicy {
  public:
   HoldPlan plan(const KeepAliveSubject&) const override {
@@ -57,32 +61,33 @@
   }
 };
 
-/// Chooses the hold time and the wake period with the least expected cost over the distribution of
-/// idle gaps: idle seconds of a whole accelerator, plus cold-start seconds at the operator's price.
-/// The distribution is the model's own, with the one of all models as a prior of the weight of a
-/// few gaps, so that a new model, or a new leader, begins with what is usual.
+/// Chooses the hold time and the preload period with the least expected cost over the distribution
+/// of idle gaps. The cost is the sum of idle seconds of a whole accelerator and cold-start seconds
+/// at the operator's price. The distribution is the model's own, with that of all models as a prior
+/// with the weight of a few gaps, so that a new model, or a new leader, starts from the usual gaps.
 class LearnedKeepAlive : public KeepAlivePolicy {
  public:
   struct Trade {
     double idleSecondsPerColdSecond = 0;
-    double coldStartTargetSeconds = 0;  ///< 0: all seconds of a cold start count the same.
+    /// Seconds above the target count more; 0: all seconds of a cold start count the same.
+    double coldStartTargetSeconds = 0;
   };
   explicit LearnedKeepAlive(const Trade& trade) : trade_(trade) {}
   HoldPlan plan(const KeepAliveSubject& subject) const override;
 
  private:
-  /// @return idle accelerator seconds that one cold start is worth.
+  /// @return the price of one cold start in idle accelerator seconds.
   double costOf(base::Duration coldStart) const;
 
   Trade trade_;
 };
 
-/// @return the policy that the budget asks for.
+/// @return the policy that the budget specifies.
 std::unique_ptr<KeepAlivePolicy> makeKeepAlivePolicy(const resource::CapacityBudgetSpec& budget);
 
-/// @return how long a replica without use is held under a fixed idle time-out: idleUnloadSeconds
-/// when the weight is 0, and longer the more cold starts count; nothing: until its memory is wanted
-/// (weight 100).
+/// @return how long an idle replica is held under a fixed idle time-out: idleUnloadSeconds at
+/// weight 0, and longer the higher the cold-start weight; empty (weight 100): until its memory is
+/// needed.
 std::optional<base::Duration> idleHold(const resource::CapacityBudgetSpec& budget);
 
 }  // namespace walnut::control
--- a/src/control/keep_alive_table.cpp
+++ b/src/control/keep_alive_table.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A plan is made again after this long, also within an idle period.
+/// A plan is recomputed after this time even within an idle period.
 constexpr base::Duration kPlanLifetime = std::chrono::minutes(5);
-/// While a target is used again and again, its plan is made at most this often.
+/// Shortest time between two plans of a target that is used repeatedly.
 constexpr base::Duration kPlanRest = std::chrono::seconds(20);
 
 HeldWeights weightsOf(const CellState& state, const DemandTarget& target,
@@ -29,7 +29,8 @@
   return pool.machineClass.empty() || pool.machineClass == engine.machineClass;
 }
 
-/// @return the part of an accelerator that the bytes are, by the first engine of the pool.
+/// @return the fraction of an accelerator's memory that the bytes take, based on the first engine
+/// of the pool.
 double shareOf(const CellState& state, std::uint64_t bytes, const resource::EnginePoolSpec& pool) {
   for (const auto& [id, engine] : state.engines()) {
     if (inPool(engine, pool) && !engine.acceleratorBytes.empty() &&
@@ -74,7 +75,7 @@
   return makeKeepAlivePolicy(budget)->plan(subject);
 }
 
-/// From the nearest tier at any engine of the pool.
+/// Estimates the cold start from the nearest cache tier on any engine of the pool.
 base::Duration KeepAliveTable::coldStartOf(const PlacementInput& input, const HeldWeights& weights,
                                            const resource::ModelSpec& model) const {
   const resource::EnginePoolSpec pool = input.state.poolOf(model);
--- a/src/control/keep_alive_table.h
+++ b/src/control/keep_alive_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Plans of the keep-alive policies for the idle periods of all models and adapters.
+/// Current keep-alive plans of all models and adapters.
 
 #include <map>
 #include <memory>
@@ -12,22 +12,23 @@
 
 namespace walnut::control {
 
-/// What is known of weights that are held or not.
+/// Size and checkpoint of the weights of a model or adapter.
 struct HeldWeights {
   std::string checkpoint;
   std::uint64_t checkpointBytes = 0;
   std::uint64_t acceleratorBytes = 0;
 };
 
-/// Kept by the leader, for one term. A plan holds for an idle period, and is made again after a
-/// while, since weights move between tiers and settings change. Bounded: one entry for each model
-/// and adapter in use.
+/// Caches the keep-alive plans of the models and adapters in use. The leader owns it for one term.
+/// A plan applies to one idle period and is recomputed after a while, because weights move between
+/// cache tiers and settings change. The table is bounded: one entry for each model and adapter in
+/// use.
 class KeepAliveTable {
  public:
-  /// @return the plan for the target, which was last used then.
+  /// @return the current plan for the target.
   const HoldPlan& planOf(const PlacementInput& input, const UsageTracker& usage,
                          const DemandTarget& target, const resource::ModelSpec& model);
-  /// A load has ended.
+  /// Records the duration of a finished load.
   void observeLoad(LoadSource source, std::uint64_t bytes, base::Duration took) {
     loadTimes_.observe(source, bytes, took);
   }
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Routers report all their demand to a new leader within a second; until then nothing counts as
-/// idle.
+/// Routers report their complete demand to a new leader within a second; until this time has passed
+/// nothing counts as idle.
 constexpr base::Duration kSettleTime = std::chrono::seconds(2);
 
-/// @return the replica that the command is about, if it is a transition of one.
+/// @return the replica whose state the command changes, if any.
 std::optional<base::ReplicaId> replicaOf(const CommandBody& body) {
   if (const auto* ready = std::get_if<MarkReplicaReady>(&body)) {
     return ready->replica;
@@ -61,7 +61,7 @@
   }
   const auto index = context_.log.propose(now, std::move(body));
   if (index.has_error()) {
-    return;  // Leadership is ending: the next leader decides.
+    return;  // Leadership is ending; the next leader will decide.
   }
   if (proposal.engine) {
     changingEngines_.insert(*proposal.engine);
@@ -142,6 +142,7 @@
   }
 }
 
+/// Marks the models that the resource concerns for planning.
 /// @param spec null if the resource was deleted.
 void Leadership::markResource(const resource::Key& key, const resource::Spec* spec) {
   if (spec == nullptr) {
@@ -158,7 +159,7 @@
                  spec == nullptr ? nullptr : std::get_if<resource::AdapterSpec>(spec)) {
     planning_.mark(adapter->model);
   } else {
-    planning_.restartPass();  // Budgets and pools concern many, and change rarely.
+    planning_.restartPass();  // Budgets and pools concern many models and change rarely.
   }
 }
 
@@ -187,7 +188,7 @@
       continue;
     }
     if (platform_.endpointTaken(id, engine.endpoint)) {
-      monitor_.forget(id);  // Another engine would answer for this one.
+      monitor_.forget(id);  // Another engine would answer in place of this one.
     } else {
       monitor_.track(now, id, engine.endpoint);
     }
@@ -212,7 +213,8 @@
   }
 }
 
-/// A machine that still answers is not gone, whatever the list says.
+/// Removes engines whose machine is gone. A machine that still answers is kept, whatever the
+/// platform list says.
 void Leadership::removeGone(base::TimePoint now) {
   for (const base::EngineId& engine : platform_.gone()) {
     const auto reportedAt = monitor_.reportedAt(engine);
@@ -274,8 +276,7 @@
   }
 }
 
-/// An engine reports that it is well whatever becomes of its requests. What routers see of it
-/// decides whether its replicas count.
+/// Ejects engines that report healthy but fail requests, based on the outcomes that routers report.
 void Leadership::detectOutliers(base::TimePoint now) {
   if (!outliers_.reviewDue(now)) {
     return;
@@ -334,7 +335,8 @@
   }
 }
 
-/// While decisions are under way, the state that the next ones need isn't there yet.
+/// Returns the time of the next placement run. While decisions are in progress, the state that the
+/// next ones depend on is not known yet.
 base::TimePoint Leadership::placementDueAt() const {
   if (placementsUnderWay_ > 0) {
     return base::kNever;
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Duties of the cell's leader: engines, placement, orders, promotion of learners.
+/// Tasks of the cell's leader: engine registration, placement, orders and promotion of learners.
 
 #include <cstdint>
 #include <map>
@@ -23,15 +23,15 @@
 
 namespace walnut::control {
 
-/// What a batch of applied entries has changed.
+/// Changes made by a batch of applied entries.
 struct StateChange {
-  /// Nothing: more than the history keeps.
+  /// Changes of the state; empty if there are more than the history keeps.
   std::optional<std::vector<protocol::Change>> changes;
-  std::set<base::EngineId> engines;  ///< Whose record or replicas changed.
-  std::set<std::string> models;      ///< Whose replicas changed.
+  std::set<base::EngineId> engines;  ///< Engines whose record or replicas changed.
+  std::set<std::string> models;      ///< Models whose replicas changed.
 };
 
-/// What a leader works with; all outlive the leadership.
+/// References that the leader works with; all outlive the leadership.
 struct LeaderContext {
   const ControllerOptions& options;
   consensus::Raft& raft;
@@ -39,13 +39,13 @@
   const CellState& state;
   const LedgerIndex& ledger;
   DemandTable& demand;
-  std::uint64_t& nextCall;  ///< Numbers calls of engines over the life of the process.
+  std::uint64_t& nextCall;  ///< Numbers engine calls over the lifetime of the process.
   std::vector<ControllerAction>& actions;
 };
 
-/// Exists exactly while this server leads and has applied an entry of its own term, so that it has
-/// seen everything that former leaders committed. All its memory is of this term. Every decision is
-/// proposed here; orders follow from the committed state alone.
+/// Performs the leader's tasks. Exists exactly while this server leads and has applied an entry of
+/// its own term, so that it has seen everything that previous leaders committed. All its data is of
+/// this term. It proposes every decision; orders follow from the committed state alone.
 class Leadership {
  public:
   Leadership(const LeaderContext& context, consensus::Term term, base::TimePoint now);
@@ -53,24 +53,25 @@
   consensus::Term term() const { return term_; }
   void platformListRead(base::TimePoint now, const PlatformListRead& read);
   void engineCallFinished(base::TimePoint now, const EngineCallFinished& call);
-  /// A router tells, beside its demand, what became of its attempts.
+  /// Records the outcomes of a router's attempts, which arrive with its demand.
   void outcomesReported(base::TimePoint now, const protocol::DemandReport& report);
-  /// An entry of this term was applied.
+  /// Handles an applied entry of this term.
   void applied(const AppliedEntry& entry);
-  /// Entries that changed the state were applied.
+  /// Handles applied entries that changed the state.
   void stateChanged(base::TimePoint now, const StateChange& change);
-  /// Does what is due. To be called before Raft's outputs are taken.
+  /// Performs all tasks that are due. Must be called before Raft's outputs are taken.
   void run(base::TimePoint now);
-  /// @return TimePoint::min() if something is due already.
+  /// @return the time of the next task; TimePoint::min() if one is due already.
   base::TimePoint nextWakeup() const;
 
  private:
-  /// What a proposal under way is about; another one on the same has to wait.
+  /// Objects that a proposal in progress concerns; another proposal for the same object has to
+  /// wait.
   struct Proposal {
     std::optional<base::EngineId> engine;
     std::optional<base::ReplicaId> replica;
-    std::optional<resource::Engine> record;  ///< To be registered.
-    bool placement = false;                  ///< Decided by the policy.
+    std::optional<resource::Engine> record;  ///< Record to be registered.
+    bool placement = false;                  ///< True if the placement policy decided it.
   };
 
   void propose(base::TimePoint now, CommandBody body, bool byPolicy);
@@ -97,17 +98,17 @@
   LearnerPromotion promotion_;
   OutlierDetector<base::EngineId, base::RouterId> outliers_;
 
-  std::map<consensus::LogIndex, Proposal> proposals_;  ///< Under way.
+  std::map<consensus::LogIndex, Proposal> proposals_;  ///< Proposals in progress.
   std::set<base::EngineId> changingEngines_;           ///< Named by one of proposals_.
   ReplicaIds changingReplicas_;                        ///< Named by one of proposals_.
-  /// Records that the state machine refused; not proposed again while they are the same.
+  /// Records that the state machine refused; they are not proposed again until they change.
   std::map<base::EngineId, resource::Engine> refusedRecords_;
   std::size_t placementsUnderWay_ = 0;
-  std::set<base::EngineId> stale_;  ///< Engines to be reviewed.
+  std::set<base::EngineId> stale_;  ///< Engines to review.
   PlanningQueue planning_;
-  bool placementStale_ = true;  ///< Something that no model stands for has changed.
-  base::TimePoint placedAt_;    ///< Last run of the policy.
-  base::TimePoint nextStepAt_;  ///< Of the pass over all models.
+  bool placementStale_ = true;  ///< True after a change that cannot be attributed to single models.
+  base::TimePoint placedAt_;    ///< Time of the last run of the policy.
+  base::TimePoint nextStepAt_;  ///< Time of the next step of the pass over all models.
 };
 
 }  // namespace walnut::control
--- a/src/control/ledger_index.h
+++ b/src/control/ledger_index.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The leader's index of the replicas in the cell's state.
+/// Index of the replicas in the cell's state.
 
 #include <map>
 #include <set>
@@ -22,30 +22,31 @@
 
 using ReplicaIds = std::set<base::ReplicaId>;
 
+/// Finds replicas by engine, accelerator, servable and state.
 /// Invariant: holds exactly the replicas of the state as of the last rebuild or update.
 class LedgerIndex {
  public:
   void rebuild(const CellState& state);
-  /// What an update was about.
+  /// Objects that an update has changed.
   struct Touched {
-    std::set<base::EngineId> engines;  ///< Whose record or replicas changed.
-    std::set<std::string> models;      ///< Whose replicas changed.
+    std::set<base::EngineId> engines;  ///< Engines whose record or replicas changed.
+    std::set<std::string> models;      ///< Models whose replicas changed.
   };
-  /// Takes in changes of the state.
+  /// Applies changes of the state.
   Touched update(const std::vector<protocol::Change>& changes);
 
   const resource::Replica* find(base::ReplicaId id) const;
-  /// Of any state.
+  /// Returns the replicas on the engine, in any state.
   const ReplicaIds& onEngine(const base::EngineId& engine) const;
   const ReplicaIds& at(const AcceleratorPlace& place) const;
   const ReplicaIds& of(const resource::Servable& servable) const;
   const std::map<resource::Servable, ReplicaIds>& servables() const { return byServable_; }
   const std::map<base::ReplicaId, resource::Replica>& replicas() const { return replicas_; }
-  /// In state reserved.
+  /// Returns the replicas in state reserved.
   const ReplicaIds& reserved() const { return reserved_; }
-  /// @return true if a replica of the servable, in any state, is there.
+  /// @return true if a replica of the servable, in any state, is on this accelerator.
   bool holds(const AcceleratorPlace& place, const resource::Servable& servable) const;
-  /// @return memory that will be free once the unloads there are confirmed, in bytes.
+  /// @return memory that will be free once the unloads on this accelerator are confirmed, in bytes.
   std::uint64_t unloadingBytes(const AcceleratorPlace& place) const;
 
  private:
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -5,7 +5,7 @@
 namespace walnut::control {
 
 namespace {
-/// Bounds the wait that a rate near zero gives.
+/// Lower bound for the rate, so that a rate near zero gives a bounded wait.
 constexpr double kLeastRate = 1e-3;
 constexpr double kMicrosPerSecond = 1e6;
 }  // namespace
--- a/src/control/load_budget.h
+++ b/src/control/load_budget.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Rate of loads from the weight store, for each pool of engines.
+/// Rate limit of loads from the weight store, for each pool of engines.
 
 #include <map>
 #include <string>
@@ -10,11 +10,12 @@
 
 namespace walnut::control {
 
-/// Spaces the loads of a pool evenly at its loadsPerSecond, without bursts. Kept by the leader; a
-/// new leader starts with an unused rate.
+/// Spaces the loads of a pool evenly at its loadsPerSecond, without bursts. The leader owns it; a
+/// new leader starts with no loads recorded.
 class LoadRate {
  public:
-  /// @return when the next load of the pool may begin; not later than `now` if it may now.
+  /// @return the time when the next load of the pool may begin; not later than `now` if it may
+  /// begin immediately.
   base::TimePoint nextAt(const std::string& pool) const;
   void begin(base::TimePoint now, const std::string& pool, const resource::EnginePoolSpec& spec);
 
--- a/src/control/load_time_estimate.cpp
+++ b/src/control/load_time_estimate.cpp
@@ -5,9 +5,10 @@
 namespace walnut::control {
 
 namespace {
-/// Weight of the latest load: some ten loads count.
+/// Weight of the latest load: the average covers about ten loads.
 constexpr double kLatest = 0.1;
-/// Bounds the rate of a load that was seen as done at once.
+/// Lower bound for the duration of a load, in seconds; it bounds the rate of a load that seemed to
+/// finish at once.
 constexpr double kLeastSeconds = 0.01;
 }  // namespace
 
--- a/src/control/load_time_estimate.h
+++ b/src/control/load_time_estimate.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// How long loads take, as seen by the leader.
+/// Estimates how long loads take, from the loads that the leader has observed.
 
 #include <array>
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace walnut::control {
 
-/// How far a checkpoint is from an accelerator; the nearest first.
+/// Location of a checkpoint, in order of distance from the accelerator.
 enum class LoadSource : std::uint8_t { hostMemory = 0, localDisk = 1, store = 2 };
 
-/// Moving average of bytes a second for each source. It begins with usual values of such machines,
-/// which the first loads correct.
+/// Moving average of the load rate in bytes per second for each source. It starts with typical
+/// values of such machines, which the first loads correct.
 class LoadTimeEstimate {
  public:
   void observe(LoadSource source, std::uint64_t bytes, base::Duration took);
--- a/src/control/member_change.cpp
+++ b/src/control/member_change.cpp
@@ -6,7 +6,7 @@
 namespace walnut::control {
 
 namespace {
-/// A learner that has caught up waits at most this long for its promotion.
+/// Longest time that a learner waits for its promotion after it has caught up.
 constexpr base::Duration kPromotionInterval = std::chrono::milliseconds(200);
 }  // namespace
 
--- a/src/control/member_change.h
+++ b/src/control/member_change.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Changes of the cell's membership: what an operator asks for, and the promotion of learners.
+/// Changes of the cell's membership: requests of operators, and the promotion of learners.
 
 #include <optional>
 
@@ -11,12 +11,13 @@
 
 namespace walnut::control {
 
-/// @return the membership after the change; nothing if the change is in it already, as when it is
-/// resent; `alreadyExists` if the id is in use for another server.
+/// @return the membership after the change; empty if it contains the change already, as after a
+/// resend; `alreadyExists` if the id is in use for another server.
 base::Result<std::optional<consensus::Membership>> membershipAfter(
     const consensus::Membership& current, const protocol::ChangeMember& change);
 
-/// Promotes learners one after the other. Raft refuses until a learner's log is near the leader's.
+/// Promotes learners to voters, one after the other. Raft refuses until a learner's log has nearly
+/// caught up with the leader's.
 class LearnerPromotion {
  public:
   void tick(base::TimePoint now, consensus::Raft& raft);
--- a/src/control/operator_watches.cpp
+++ b/src/control/operator_watches.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// @return true if the change is of a resource, and of that kind if one is given.
+/// @return true if the change concerns a resource, and one of the given kind if there is one.
 bool matches(const protocol::Change& change, const std::optional<resource::Kind>& kind) {
   if (const auto* changed = std::get_if<protocol::ResourceChanged>(&change)) {
     return !kind || changed->resource.key.kind == *kind;
--- a/src/control/operator_watches.h
+++ b/src/control/operator_watches.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Operators' watches of resources at this server.
+/// Operators' watches of resources on this server.
 
 #include <map>
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace walnut::control {
 
-/// A watch ends with `watchTooOld` when the history no longer reaches back to it; the operator
-/// lists again.
+/// Pushes changes of resources to operators. A watch ends with `watchTooOld` when the history no
+/// longer reaches back to its version; the operator must then list again.
 class OperatorWatches {
  public:
   /// All references outlive this object.
@@ -22,7 +22,7 @@
 
   void open(base::TimePoint now, const ApiWatchOpened& watch);
   void close(std::uint64_t call) { watches_.erase(call); }
-  /// The state machine has applied entries.
+  /// Schedules a push after applied entries.
   void stateChanged(base::TimePoint now);
   void tick(base::TimePoint now);
   base::TimePoint nextWakeup() const { return nextPushAt_; }
@@ -33,7 +33,7 @@
     resource::Version sentVersion = 0;
   };
 
-  /// @return false if the watch is over.
+  /// @return false if the watch has ended.
   bool push(std::uint64_t call, Watch& watch);
 
   const ControllerOptions& options_;
--- a/src/control/outlier_detector.h
+++ b/src/control/outlier_detector.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Outlier detection: which workers or engines fail their requests though they report that they are
-/// well, by the outcomes that all gateways or routers report together.
+/// Outlier detection: finds the workers or engines that fail requests although they report that
+/// they are healthy, from the outcomes that all gateways or routers report.
 
 #include <algorithm>
 #include <cmath>
@@ -18,98 +18,110 @@
 
 namespace outlier {
 
-/// Weight of one attempt in the share of failures: three in a row make one that was well
-/// failing, two one that nobody has seen answer. Well below, the stray errors of sound workers,
-/// some in a hundred, would eject several of a hundred workers each minute; well above, a rare
-/// model is asked for in vain several times before its worker is known.
+/// Weight of one attempt in the failure share. With this value, three failures in a row eject a
+/// subject that was healthy, and two eject one that nobody has seen succeed. A much lower weight
+/// (longer memory) needs several more requests to find the failing worker of a rarely requested
+/// model; with a much higher one, the stray errors of healthy workers (a few per cent) would eject
+/// several of a hundred workers each minute.
 inline constexpr double kAttemptWeight = 0.25;
-/// The share of a worker without any outcome: what was never seen to answer is trusted less.
+/// Initial failure share of a subject without any outcome: a subject that has not been seen to
+/// succeed is trusted less.
 inline constexpr double kUnknownShare = 0.2;
 inline constexpr double kFailingShare = 0.5;
-/// Beyond the share of the rest of its service.
+/// A subject is ejected only if its failure share exceeds that of the rest of its service by this
+/// much.
 inline constexpr double kExcessShare = 0.35;
-/// Below this share a worker counts as well again.
+/// A subject with a failure share below this value counts as healthy again.
 inline constexpr double kSoundShare = 0.25;
-/// Of a worker that is returned: its next failure ejects it anew.
+/// Failure share given to a subject when its ejection ends: its next failure ejects it again.
 inline constexpr double kReturnShare = 0.45;
-/// At most this part of a service's workers: the rest could not carry its load.
+/// At most this fraction of a service's workers is ejected: the remaining ones could not carry the
+/// load of more.
 inline constexpr double kMostFailing = 0.5;
-/// A single reporter may be what fails itself.
+/// Minimum number of reporters that must have seen a subject fail. A single reporter may be the
+/// faulty one itself.
 inline constexpr std::size_t kLeastReporters = 2;
 /// @name Ejection time
-/// The first one; it doubles with each ejection, up to the longest. To return a worker that still
-/// fails costs an attempt or two; one that is well again is left without work until then.
+/// The first ejection lasts the base time. The time doubles with each further ejection, up to a
+/// maximum number of doublings. Returning a worker that still fails costs one or two attempts; a
+/// worker that has recovered gets no work until its ejection ends.
 /// @{
 inline constexpr base::Duration kBaseEjectionTime = std::chrono::seconds(4);
 inline constexpr std::uint32_t kMostDoublings = 2;
 /// @}
-/// Outcomes before a silence of this length say nothing of a worker any more.
+/// Outcomes older than this, without any since, are no longer used to judge a subject.
 inline constexpr base::Duration kOutcomesLast = std::chrono::seconds(30);
 
-/// One that has all the work it takes begins another request within a fraction of a second, as
-/// others end: without any answer for this long it hangs.
+/// A subject at its concurrency limit that answers nothing for this long is considered hung. A
+/// working one starts another request within a fraction of a second, as others end.
 inline constexpr base::Duration kFullPatience = std::chrono::seconds(3);
 
 }  // namespace outlier
 
-/// Kept by a leader; empty at the start of its leadership. Reporters tell the outcomes of their
-/// attempts; each alone sees too few of one subject.
+/// Tracks the failure share of each subject and decides which subjects to eject. The leader owns
+/// it; it is empty at the start of each leadership. Each reporter sends the outcomes of its own
+/// attempts, because a single reporter sees too few attempts per subject.
 ///
-/// A subject is failing, and ejected, once half or more of its latest attempts failed, clearly more
-/// than of the others of its group: where all fail alike, none of them is worth avoiding. One
-/// reporter alone ejects nobody, as it may be what fails. An ejection ends after a while, so that
-/// the subject is tried again, or as soon as attempts that were made all the same succeed.
+/// A subject counts as failing, and is ejected, once at least half of its latest attempts failed
+/// and clearly more than those of the others of its group: if all fail alike, avoiding one of them
+/// gains nothing. A single reporter never causes an ejection, because the reporter itself may be
+/// faulty. An ejection ends after its ejection time, so that the subject gets requests again, or as
+/// soon as attempts that were made in spite of it succeed.
 ///
 /// @tparam Subject id of a worker or an engine.
-/// @tparam Reporter id of who makes attempts.
+/// @tparam Reporter id of the process that makes the attempts.
 template <class Subject, class Reporter>
 class OutlierDetector {
  public:
-  /// Attempts of one reporter at one subject since its last report.
+  /// Outcomes of the attempts of one reporter at one subject since its last report.
   struct Outcomes {
     Subject subject;
     std::uint32_t answered = 0;
     std::uint32_t failed = 0;
-    /// Failed while the subject had all the work it takes: counts only if it answers nobody.
+    /// Attempts that failed while the subject was at its concurrency limit. They count as failures
+    /// only if the subject answers nobody.
     std::uint32_t stalled = 0;
   };
-  /// A change of what is held of a subject, with what decided it.
+  /// A subject was ejected or returned, with the figures that led to the decision.
   struct Change {
     Subject subject;
     bool failing = false;
-    double share = 0;             ///< Of its latest attempts, those that failed.
-    double restShare = 0;         ///< The same of the others of its group.
+    double share = 0;             ///< Failure share of the subject.
+    double restShare = 0;         ///< Average failure share of the others of its group.
     std::uint32_t reporters = 0;  ///< That have seen it fail.
-    base::Duration heldFor{0};    ///< How long it was as before; 0: always.
+    /// Time since the previous ejection or return; 0 if there was none.
+    base::Duration heldFor{0};
   };
 
   void report(Reporter reporter, const Outcomes& outcomes, base::TimePoint now);
-  /// @return true if a review may eject or return a subject.
+  /// @return true if a review may eject or return a subject, so that one is due.
   bool reviewDue(base::TimePoint now) const;
-  /// @param groups of subjects that could do each other's work. @param reporters how many there
-  /// are.
+  /// Ejects and returns subjects.
+  /// @param groups subjects that can serve the same requests, by group name.
+  /// @param reporters number of known reporters.
   void review(const std::map<std::string_view, std::vector<Subject>>& groups, std::size_t reporters,
               base::TimePoint now);
-  /// Forgets all subjects for which the predicate holds.
+  /// Removes all subjects for which the predicate is true.
   template <class Predicate>
   void forgetIf(Predicate predicate) {
     std::erase_if(records_, [&predicate](const auto& entry) { return predicate(entry.first); });
   }
 
   bool failing(const Subject& subject) const;
-  /// @return changes since the last call.
+  /// @return ejections and returns since the last call.
   std::vector<Change> takeChanges() { return std::exchange(changes_, {}); }
 
  private:
   struct Record {
     double share = 0;
-    base::TimePoint reportedAt;           ///< Of the latest outcomes; long ago: there were none.
-    base::TimePoint answeredAt;           ///< Of the latest success, or since it is known.
+    /// Time of the latest report with attempts; zero if there was none.
+    base::TimePoint reportedAt;
+    base::TimePoint answeredAt;  ///< Time of the latest success; without one, of the first report.
     std::set<Reporter> failureReporters;  ///< That have seen it fail.
     bool failing = false;
-    base::TimePoint changedAt;     ///< When it was ejected or returned; zero: never.
-    base::TimePoint ejectedUntil;  ///< When one that fails is tried again.
-    std::uint32_t ejections = 0;   ///< Verdicts since it last answered well.
+    base::TimePoint changedAt;     ///< Time of the last ejection or return; zero if there was none.
+    base::TimePoint ejectedUntil;  ///< End of the current ejection.
+    std::uint32_t ejections = 0;   ///< Ejections since it was last healthy.
   };
 
   void reviewGroup(const std::vector<Subject>& subjects, std::size_t reporters,
@@ -118,8 +130,8 @@
   void eject(const Subject& subject, Record& record, double restShare, base::TimePoint now);
   void note(const Subject& subject, Record& record, double restShare, base::TimePoint now);
 
-  std::map<Subject, Record> records_;  ///< Of those with outcomes.
-  bool unreviewed_ = false;            ///< Outcomes came that may eject or return one.
+  std::map<Subject, Record> records_;  ///< Subjects with reported outcomes.
+  bool unreviewed_ = false;  ///< Outcomes have arrived that may eject or return a subject.
   std::vector<Change> changes_;
 };
 
@@ -194,7 +206,8 @@
       shares += record.share;
     }
   }
-  // The worst first: without it, the next one is compared with a better rest.
+  // Highest failure share first: once it is ejected, the next one is compared with a healthier
+  // rest.
   std::sort(sound.begin(), sound.end(), [](const auto& left, const auto& right) {
     return left.second->share > right.second->share;
   });
--- a/src/control/peer_directory.h
+++ b/src/control/peer_directory.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Open connections of a controller, who is at their other end, and how to reach the servers of
-/// the cell.
+/// Directory of a controller's open connections, the peers at their other ends, and the endpoints
+/// of the cell's servers.
 
 #include <map>
 #include <optional>
@@ -13,8 +13,9 @@
 
 namespace walnut::control {
 
-/// Invariant: only connections whose Hello names this cell and this protocol version are known; all
-/// messages of others are ignored.
+/// Maps connections to peers and servers to endpoints.
+/// Invariant: only connections whose Hello contains this cell and this protocol version are known;
+/// messages of all others are ignored.
 class PeerDirectory {
  public:
   explicit PeerDirectory(base::CellId cell) : cell_(cell) {}
@@ -23,18 +24,20 @@
   void closed(protocol::ConnectionId connection);
 
   bool isRouter(protocol::ConnectionId connection) const;
-  /// @return true if the connection is that server's.
+  /// @return true if the connection belongs to this server.
   bool isServer(protocol::ConnectionId connection, base::ServerId server) const;
   bool isController(protocol::ConnectionId connection) const;
-  /// Routers connected now, each counted once.
+  /// Returns the number of connected routers; a router with several connections counts once.
   std::uint64_t routerCount() const;
 
-  /// The server has sent a message over the connection: a reply may go back there.
+  /// Records that the server has sent a message over the connection, so that replies can be sent
+  /// over it.
   void heard(protocol::ConnectionId connection, base::ServerId server);
-  /// Endpoints of servers that have left the membership are kept, so that they can be told.
+  /// Adds the endpoints of the members. Endpoints of servers that have left the membership are
+  /// kept, so that they can be informed.
   void learn(const consensus::Membership& membership);
-  /// @return the action that sends to the server: to its endpoint, or, while that is unknown, back
-  /// over the connection that it last used; nothing if there is no way.
+  /// @return the action that sends to the server: to its endpoint or, while that is unknown, over
+  /// the connection that the server last used; empty if neither is known.
   std::optional<ControllerAction> sendTo(base::ServerId server, protocol::Message message) const;
 
  private:
--- a/src/control/placement_input.h
+++ b/src/control/placement_input.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the placement policy decides from.
+/// Input of the placement policy.
 
 #include <map>
 #include <set>
@@ -13,7 +13,7 @@
 
 namespace walnut::control {
 
-/// A view for one run of the policy.
+/// Read-only view of the cell for one run of the placement policy.
 struct PlacementInput {
   base::TimePoint now;
   const CellState& state;
@@ -22,12 +22,13 @@
   const std::map<DemandTarget, TotalDemand>& demand;
   const UsageTracker& usage;
   const std::set<AcceleratorPlace>& unledgered;
-  /// Replicas with a proposal under way.
+  /// Replicas with a proposal in progress.
   const ReplicaIds& changing;
-  /// All routers have had time to report to this leader: what has no demand is idle.
+  /// True once all routers have had time to report to this leader: from then on, a target without
+  /// demand is idle.
   bool settled = false;
 
-  /// @return true if the engine may be given new replicas, and its replicas work.
+  /// @return true if the engine may get new replicas and its replicas may serve.
   bool takesWork(const resource::Engine& engine) const {
     return engine.status == resource::EngineStatus::live &&
            engine.incarnation != base::Incarnation{} && !state.drained(engine.id);
@@ -40,8 +41,8 @@
   bool serves(const resource::Replica& replica) const {
     return replica.state != resource::ReplicaState::unloading && takesWork(replica.engine);
   }
-  /// @return true if streams have to go on with this servable of a former version, or with an
-  /// adapter over it.
+  /// @return true if streams wait for this servable of a previous version, or for an adapter on top
+  /// of it.
   bool formerVersionWanted(const resource::Servable& servable) const {
     for (auto entry = demand.lower_bound({servable.model, "", ""});
          entry != demand.end() && entry->first.model == servable.model; ++entry) {
@@ -53,19 +54,19 @@
     }
     return false;
   }
-  /// @return demand of the target; none if no router reports it.
+  /// @return the demand of the target; empty if no router reports any.
   TotalDemand demandOf(const DemandTarget& target) const {
     const auto found = demand.find(target);
     return found == demand.end() ? TotalDemand{} : found->second;
   }
 };
 
-/// @return the target whose demand a servable of the active version answers.
+/// @return the demand target that a servable of the active version serves.
 inline DemandTarget targetOf(const resource::Servable& servable) {
   return {servable.model, servable.adapter, ""};
 }
 
-/// @return the model itself, of an adapter's servable.
+/// @return the servable of the model itself: for an adapter, the model that it is loaded on.
 inline resource::Servable baseOf(resource::Servable servable) {
   servable.adapter.clear();
   return servable;
--- a/src/control/placement_policy.cpp
+++ b/src/control/placement_policy.cpp
@@ -7,12 +7,13 @@
 namespace walnut::control {
 
 namespace {
-/// After the first failed load of a servable; doubled with each further one.
+/// Backoff after the first failed load of a servable; it doubles with each further failure.
 constexpr base::Duration kFirstRetry = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxRetryDoublings = 3;
 
-/// Reads from the store that may run at once, this one included: a quarter is kept for interactive
-/// requests that come later, and a half for everyone who waits.
+/// Returns the number of store reads, including this one, that may run at once for a need of this
+/// urgency: a quarter is reserved for interactive requests that arrive later, and half for all
+/// waiting requests.
 std::uint32_t readsFor(const ReplicaNeed& need, const resource::EnginePoolSpec& spec) {
   constexpr std::uint32_t kQuarters = 4;
   const std::uint32_t all = spec.maxConcurrentLoads;
@@ -86,7 +87,7 @@
 std::vector<ReplicaNeed> PlacementPolicy::inOrder(std::vector<ReplicaNeed> needs) {
   ++run_;
   if (!std::exchange(limited_, false)) {
-    lookedAtInRun_.clear();  // All were looked at: deadlines alone decide.
+    lookedAtInRun_.clear();  // All needs were examined: only deadlines decide.
   }
   std::map<resource::Servable, std::uint64_t> lookedAt;
   for (const ReplicaNeed& need : needs) {
@@ -116,7 +117,8 @@
 void PlacementPolicy::serve(const PlacementInput& input, SpaceFinder& space,
                             const ReplicaNeed& need) {
   if (need.urgency != Urgency::ahead) {
-    unmet_.insert(need.servable.model);  // Until it is placed, which makes it change.
+    // The model stays in the set until the placement is applied, which marks it as changed.
+    unmet_.insert(need.servable.model);
   }
   const auto failure = failures_.find(need.servable);
   if (failure != failures_.end() && input.now < failure->second.retryAt) {
@@ -164,7 +166,8 @@
   return true;
 }
 
-/// Reservations whose engine doesn't show the weights in a cache are being read from the store.
+/// Counts the loads from the store in progress: a reserved replica whose engine does not report the
+/// weights in a cache is being read from the store.
 std::uint32_t PlacementPolicy::storeLoads(const PlacementInput& input, const SpaceFinder& space,
                                           const std::string& pool) const {
   std::uint32_t count = 0;
--- a/src/control/placement_policy.h
+++ b/src/control/placement_policy.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Which replicas to place and to unload. Pure: decides from its input and what it remembers of
-/// loads; the caller commits the decisions.
+/// Placement policy: decides which replicas to place and which to unload. It performs no I/O; it
+/// decides from its input and from the load history that it keeps, and the caller commits the
+/// decisions.
 
 #include <algorithm>
 #include <map>
@@ -17,28 +18,31 @@
 
 namespace walnut::control {
 
-/// One object for each term that this server leads. A run decides in this order: unload what is
-/// surplus; then for each need, the most urgent first: place it where memory is free and the load
-/// budget allows; else keep memory that is becoming free; else evict idle replicas.
+/// Decides placements and evictions for one term of leadership; each term uses a new object.
+/// A run first unloads surplus replicas. Then, for each need in order of urgency, it places a
+/// replica where memory is free and the load budget allows it; otherwise it reserves memory that is
+/// being freed; otherwise it evicts idle replicas.
 class PlacementPolicy {
  public:
-  /// Accelerators that a run looks at before it leaves the other needs to the next one. One takes
-  /// some 2 us (walnut-rehearse scale --experiment controller-logic), so a run ends within 20 ms,
-  /// or with its first need, far below check-quorum, however many models wake at once.
+  /// Number of accelerators that a run examines before it leaves the remaining needs to the next
+  /// run. One takes about 2 us (walnut-rehearse scale --experiment controller-logic), so a run ends
+  /// within 20 ms, or after its first need, far below the check-quorum timeout, however many models
+  /// are loaded on demand at once.
   static constexpr std::size_t kSearchLimit = 8192;
 
   explicit PlacementPolicy(std::size_t searchLimit = kSearchLimit) : searchLimit_(searchLimit) {}
 
-  /// Plans these models, and those whose needs the last run left.
-  /// @return PlaceReplica and BeginUnload, to be proposed in this order. All must be applied before
-  /// the next run.
+  /// Plans these models and those with needs left from the last run.
+  /// @return PlaceReplica and BeginUnload commands, to be proposed in this order. All must be
+  /// applied before the next run.
   std::vector<CommandBody> decide(const PlacementInput& input, std::set<std::string> models,
                                   UsageTracker& usage);
-  /// A load failed: the servable is loaded again only after a while, longer each time.
+  /// Records a failed load. The servable is loaded again only after a backoff that doubles with
+  /// each failure.
   void loadFailed(base::TimePoint now, const resource::Servable& servable);
-  /// The replica became ready.
+  /// Records that the replica became ready.
   void loadSucceeded(base::TimePoint now, const resource::Replica& replica);
-  /// @return when a need that the last run had to leave may be met; kNever if only a change of the
+  /// @return the earliest time at which a remaining need may be met; kNever if only a change of the
   /// input can help.
   base::TimePoint nextWakeup() const {
     return due_.empty() ? wakeup_ : std::min(wakeup_, due_.begin()->first);
@@ -51,8 +55,8 @@
   };
 
   void serve(const PlacementInput& input, SpaceFinder& space, const ReplicaNeed& need);
-  /// Most urgent first; of equal urgency the earliest deadline, but after a run that couldn't look
-  /// at all of them those first that have waited longest to be looked at.
+  /// Sorts the needs, most urgent first. Needs of equal urgency go by deadline; after a run that
+  /// could not examine all needs, those that were examined longest ago go first.
   std::vector<ReplicaNeed> inOrder(std::vector<ReplicaNeed> needs);
   void leaveToNextRun(const PlacementInput& input, const ReplicaNeed& need);
   bool storeAllows(const PlacementInput& input, const SpaceFinder& space, const ReplicaNeed& need);
@@ -64,27 +68,29 @@
               const std::map<std::string, base::TimePoint>& at);
 
   std::size_t searchLimit_;
-  bool limited_ = false;   ///< The last run left needs to the next one, unlooked at.
-  std::uint64_t run_ = 0;  ///< Number of the present run.
-  std::map<resource::Servable, std::uint64_t> lookedAtInRun_;  ///< Of present needs, the last one.
-  /// A load that this object has decided.
+  bool limited_ = false;   ///< The last run reached its search limit and left needs unexamined.
+  std::uint64_t run_ = 0;  ///< Number of the current run.
+  /// For each current need, the last run that examined it.
+  std::map<resource::Servable, std::uint64_t> lookedAtInRun_;
+  /// A load decided by this object.
   struct Load {
     LoadSource source = LoadSource::store;
-    std::uint64_t bytes = 0;  ///< Of the checkpoint.
+    std::uint64_t bytes = 0;  ///< Size of the checkpoint.
   };
 
   KeepAliveTable keepAlive_;
-  /// At most one for each place and servable; those of replicas that were given up stay until the
-  /// next load there.
+  /// Loads in progress, at most one for each place and servable. Entries of replicas that were
+  /// given up stay until the next load there.
   std::map<std::pair<AcceleratorPlace, resource::Servable>, Load> loads_;
   LoadRate rate_;
   std::map<resource::Servable, Failure> failures_;
   base::TimePoint wakeup_ = base::kNever;
-  std::set<std::string> unmet_;                   ///< Models with a need that the last run left.
-  std::map<std::string, base::TimePoint> dueAt_;  ///< Of models that were planned.
-  std::set<std::pair<base::TimePoint, std::string>> due_;  ///< The same by time.
+  std::set<std::string> unmet_;  ///< Models with a need that the last run did not meet.
+  std::map<std::string, base::TimePoint> dueAt_;           ///< Due times of planned models.
+  std::set<std::pair<base::TimePoint, std::string>> due_;  ///< Due times in order of time.
   std::vector<CommandBody> decisions_;
-  std::map<std::string, std::uint32_t> storeLoadsDecided_;  ///< In this run, by pool.
+  /// Store loads decided in this run, by pool.
+  std::map<std::string, std::uint32_t> storeLoadsDecided_;
 };
 
 }  // namespace walnut::control
--- a/src/control/planning_queue.cpp
+++ b/src/control/planning_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// @return all declared models, and deleted ones that are still held.
+/// @return all declared models, and deleted models that still have replicas.
 std::set<std::string> allModels(const CellState& state, const LedgerIndex& ledger) {
   std::set<std::string> models;
   const auto& resources = state.resources();
--- a/src/control/planning_queue.h
+++ b/src/control/planning_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which models the placement policy looks at next.
+/// Queue of the models that the placement policy plans next.
 
 #include <set>
 #include <string>
@@ -11,28 +11,28 @@
 
 namespace walnut::control {
 
-/// Models that something has happened to are planned at once; all others in turn, a part of them in
-/// each step, for what only the passing of time changes. So a run's work follows the changes and
-/// not the size of the cell.
+/// Orders the planning of models. A changed model is planned at once. All other models are planned
+/// in passes, a part of them in each step, for changes that follow from the passage of time alone.
+/// So the work of a run depends on the number of changes and not on the size of the cell.
 class PlanningQueue {
  public:
-  /// Steps in which all models are planned once.
+  /// Number of steps in which all models are planned once.
   static constexpr std::size_t kStepsOfPass = 16;
 
   void mark(const std::string& model) { marked_.insert(model); }
   bool anyMarked() const { return !marked_.empty(); }
-  /// Something has happened to any number of models: the pass begins anew.
+  /// Restarts the pass after a change that may concern any model.
   void restartPass() { done_ = pass_.size(); }
 
-  /// @return the marked models, which are marked no longer.
+  /// @return the marked models and unmarks them.
   std::set<std::string> takeMarked() { return std::exchange(marked_, {}); }
   /// @return the models of the next step of the pass.
   std::vector<std::string> nextStep(const CellState& state, const LedgerIndex& ledger);
 
  private:
   std::set<std::string> marked_;
-  std::vector<std::string> pass_;  ///< Models of the present pass.
-  std::size_t done_ = 0;           ///< How many of them were planned.
+  std::vector<std::string> pass_;  ///< Models of the current pass.
+  std::size_t done_ = 0;           ///< Number of models of the pass already planned.
 };
 
 }  // namespace walnut::control
--- a/src/control/platform_watcher.h
+++ b/src/control/platform_watcher.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The leader's view of the platform's list of machines.
+/// Reads the platform's list of machines for the leader.
 
 #include <map>
 #include <set>
@@ -13,9 +13,9 @@
 
 namespace walnut::control {
 
-/// Reads the list at an interval and takes in only lists of a later date than the last one.
-/// Invariant: a machine counts as gone only if lists over machineGoneAfter of the platform's own
-/// time have lacked it, the first and the last included.
+/// Reads the list at an interval and applies only lists with a later date than the last one.
+/// Invariant: a machine counts as gone only if it is missing from all lists over a span of
+/// machineGoneAfter by the platform's own clock, the first and the last list included.
 class PlatformWatcher {
  public:
   /// Both references outlive this object.
@@ -24,6 +24,7 @@
 
   void tick(base::TimePoint now);
   base::TimePoint nextWakeup() const { return nextReadAt_; }
+  /// Applies the result of a read.
   /// @param known engines of the cell's state, which the list may lack.
   /// @return true if the list is newer than the last one.
   bool listRead(base::TimePoint now, const PlatformListRead& read,
@@ -35,13 +36,13 @@
   const engine::PlatformMachine* find(const base::EngineId& engine) const;
   /// @return true if another machine of the list has this endpoint.
   bool endpointTaken(const base::EngineId& engine, const base::Endpoint& endpoint) const;
-  /// @return engines that are known gone.
+  /// @return engines that count as gone.
   std::vector<base::EngineId> gone() const;
 
  private:
   const ControllerOptions& options_;
   std::vector<ControllerAction>& actions_;
-  base::TimePoint nextReadAt_;  ///< kNever while a read is under way.
+  base::TimePoint nextReadAt_;  ///< Time of the next read; kNever while one is in flight.
   bool hasList_ = false;
   base::TimePoint asOf_;
   std::map<base::EngineId, engine::PlatformMachine> machines_;
--- a/src/control/replica_reconciler.cpp
+++ b/src/control/replica_reconciler.cpp
@@ -21,7 +21,7 @@
   return nullptr;
 }
 
-/// An adapter can only be loaded over its ready model.
+/// An adapter can only be loaded when its model is ready on the same accelerator.
 bool baseIsReady(const engine::Report& report, const Replica& replica) {
   resource::Servable base = replica.servable;
   base.adapter.clear();
@@ -29,7 +29,7 @@
   return held != nullptr && held->state == HeldState::ready;
 }
 
-/// Refusals of a load that come again if it is ordered again.
+/// Returns true for refusals of a load that would repeat if it were ordered again.
 bool isLasting(base::ErrorCode code) {
   return code == base::ErrorCode::insufficientMemory || code == base::ErrorCode::engineLeaving ||
          code == base::ErrorCode::loadFailed || code == base::ErrorCode::outOfRange ||
@@ -220,7 +220,8 @@
   return std::nullopt;
 }
 
-/// @return nothing if the resource was deleted meanwhile: the replica is then given up.
+/// @return the load order; empty if the resource was deleted meanwhile, in which case the replica
+/// is given up.
 std::optional<engine::Order> ReplicaReconciler::loadOrder(const Replica& replica) const {
   engine::Order order;
   order.incarnation = replica.incarnation;
--- a/src/control/replica_reconciler.h
+++ b/src/control/replica_reconciler.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Brings each engine and the ledger together: which transitions an engine's report proves, and
-/// which order the engine needs next.
+/// Reconciles engines with the ledger: determines which replica transitions an engine's report
+/// proves, and which order the engine needs next.
 
 #include <map>
 #include <optional>
@@ -14,25 +14,25 @@
 
 namespace walnut::control {
 
-/// A load that an engine could not do.
+/// A load that failed or was refused on an engine.
 struct FailedLoad {
   resource::Servable servable;
   base::EngineId engine;
 };
 
-/// What a review of an engine found.
+/// Result of reviewing an engine.
 struct EngineReview {
   std::vector<CommandBody> proposals;
   std::vector<FailedLoad> failedLoads;
 };
 
-/// Works from the ledger and from reports of the present term only, so that it needs no memory of
-/// a former leader. Invariants:
-/// - a load order is only sent for a committed reservation, and only if a report that was made
-///   after the last order for that place shows that it isn't held there;
-/// - an unload order follows the decision by at least unloadGrace, unless the replica never was
-///   ready, so that no router can have used it;
-/// - a release is only proposed when a report of this term, made after the last order for that
+/// Reconciles the ledger with the reports of the engines. It uses only the ledger and reports of
+/// the current term, so that it needs no data of a previous leader. Invariants:
+/// - a load order is sent only for a committed reservation, and only if a report made after the
+///   last order for that place shows that the servable is not held there;
+/// - an unload order is sent no earlier than unloadGrace after the decision, unless the replica was
+///   never ready, so that no router can have used it;
+/// - a release is proposed only when a report of this term, made after the last order for that
 ///   place, shows nothing there. Every earlier order is then fenced off.
 class ReplicaReconciler {
  public:
@@ -41,20 +41,21 @@
                     const LedgerIndex& ledger, EngineMonitor& monitor)
       : options_(options), state_(state), ledger_(ledger), monitor_(monitor) {}
 
-  /// The ledger of the engine has changed: starts the grace of new unloads.
+  /// Handles a change of the engine's replicas: starts the grace period of new unloads.
   void ledgerChanged(base::TimePoint now, const base::EngineId& engine);
-  /// @param changing replicas with a proposal under way.
+  /// @return the transitions that the engine's latest report proves.
+  /// @param changing replicas with a proposal in progress.
   EngineReview review(const base::EngineId& engine, const ReplicaIds& changing);
-  /// Sends the order that the engine needs most, if it can take one.
+  /// Sends the most important outstanding order if the engine can take one.
   void sendNextOrder(base::TimePoint now, const base::EngineId& engine);
-  /// An order of this leader was answered.
+  /// Handles the answer to an order of this leader.
   void orderFinished(const FinishedCall& call);
-  /// @return engines whose unload grace has ended since the last call.
+  /// @return engines whose unload grace period has ended since the last call.
   std::set<base::EngineId> takeDue(base::TimePoint now);
   base::TimePoint nextWakeup() const;
   void forget(const base::EngineId& engine);
 
-  /// Accelerators that hold, by the latest report, what the ledger doesn't know.
+  /// Accelerators that, by their latest report, hold something that is not in the ledger.
   const std::set<AcceleratorPlace>& unledgered() const { return unledgered_; }
 
  private:
@@ -64,9 +65,9 @@
     auto operator<=>(const HeldPlace&) const = default;
   };
   struct OrderRecord {
-    engine::FencingToken token;  ///< Of the last order in this term.
-    base::ReplicaId replica;     ///< Whom it was for; zero: for something unledgered.
-    bool refused = false;        ///< The engine refused to load, for a reason that won't pass.
+    engine::FencingToken token;  ///< Token of the last order in this term.
+    base::ReplicaId replica;     ///< Replica that the order was for; zero for something unledgered.
+    bool refused = false;        ///< True if the engine refused to load for a permanent reason.
   };
   using Orders = std::map<HeldPlace, OrderRecord>;
   struct NeededOrder {
@@ -77,7 +78,8 @@
   static HeldPlace placeOf(const resource::Replica& replica) {
     return {replica.accelerator, replica.servable};
   }
-  /// @return the report to rely on: of this term and of the incarnation in the ledger; else null.
+  /// @return the latest report if it is of this term and of the incarnation in the ledger; else
+  /// null.
   const engine::Report* currentReport(const base::EngineId& engine) const;
   const OrderRecord& lastOrder(const base::EngineId& engine, const HeldPlace& place) const;
   void reviewReplica(const resource::Replica& replica, const engine::Report& report,
@@ -97,7 +99,7 @@
   EngineMonitor& monitor_;
   std::map<base::EngineId, Orders> orders_;
   std::map<base::ReplicaId, base::TimePoint> unloadAt_;
-  ReplicaIds neverReady_;  ///< Seen as reserved in this term, and not as ready.
+  ReplicaIds neverReady_;  ///< Replicas seen as reserved in this term and not yet as ready.
   std::set<std::pair<base::TimePoint, base::EngineId>> graceEnds_;
   std::set<AcceleratorPlace> unledgered_;
 };
--- a/src/control/request_answers.h
+++ b/src/control/request_answers.h
@@ -14,14 +14,16 @@
 
 namespace walnut::control {
 
-/// Bounded; the oldest are forgotten first. Part of the replicated state, so that a resend gets the
-/// first answer from any later leader too.
+/// Stores the first answer to each recent write request. The number of answers is bounded; the
+/// oldest are removed first. The store is part of the replicated state, so that a resend also gets
+/// the first answer from any later leader.
 class RequestAnswers {
  public:
   explicit RequestAnswers(std::size_t keep) : keep_(keep) {}
 
   struct Answer {
-    std::uint64_t fingerprint = 0;  ///< Hash of the request, to notice a reused id.
+    /// Hash of the request, to detect that its id was reused for another one.
+    std::uint64_t fingerprint = 0;
     WriteOutcome outcome;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -29,11 +31,11 @@
     }
   };
 
-  /// Keeps the first answer: a later one for the same id is ignored.
+  /// Stores the answer unless there is one for the id already.
   void remember(const std::string& requestId, Answer answer);
   const Answer* find(const std::string& requestId) const;
 
-  /// An answer with its request id, as a snapshot carries it.
+  /// An answer with its request id, as stored in a snapshot.
   struct Remembered {
     std::string requestId;
     Answer answer;
--- a/src/control/space_finder.cpp
+++ b/src/control/space_finder.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// A replica that was in use this lately is not evicted, so that two models don't take turns.
+/// A replica that was in use within this time is not evicted, so that two models do not evict each
+/// other in turn.
 constexpr base::Duration kEvictionRest = std::chrono::seconds(2);
 
 std::uint64_t lookUp(const std::map<AcceleratorPlace, std::uint64_t>& bytes,
@@ -52,7 +53,8 @@
   return places;
 }
 
-/// An adapter goes where its model is ready; a model to any accelerator of its pool.
+/// Returns the candidate accelerators: for an adapter those where its model is ready, for a model
+/// all of its pool.
 SpaceFinder::Pool& SpaceFinder::poolOf(const ReplicaNeed& need) {
   if (!need.servable.adapter.empty()) {
     adapterPool_ = Pool{};
@@ -108,8 +110,8 @@
   return *tier == engine::CacheTier::hostMemory ? LoadSource::hostMemory : LoadSource::localDisk;
 }
 
-/// Nearest weights first; then room for adapters, an engine and a zone without the servable, and
-/// the most free memory.
+/// Ranks accelerators by distance of the weights first; then by room for the model's adapters, by
+/// an engine and a zone that do not have the servable yet, and by free memory.
 std::optional<PlacementChoice> SpaceFinder::findFree(const ReplicaNeed& need) {
   Pool& pool = poolOf(need);
   if (need.bytes >= pool.noneFree) {
@@ -122,7 +124,8 @@
     engines.insert(engine);
     ++zones[input_.state.engines().at(engine).zone];
   }
-  using Rank = std::tuple<LoadSource, bool, bool, std::size_t, std::uint64_t>;  // Least is best.
+  // The smallest rank is the best.
+  using Rank = std::tuple<LoadSource, bool, bool, std::size_t, std::uint64_t>;
   std::optional<Rank> bestRank;
   std::optional<PlacementChoice> best;
   bool anyFree = false;
@@ -241,7 +244,8 @@
   return input_.settled && idle(replica) && aboveMinimum(replica.servable);
 }
 
-/// The longer unused, and the less its budget minds a cold start, the cheaper.
+/// Returns the cost of losing the replica. It is lower the longer the replica has been unused and
+/// the lower the cold-start weight of its budget.
 double SpaceFinder::valueOf(const Replica& replica) const {
   const auto* model = input_.state.findModel(replica.servable.model);
   if (model == nullptr || outdated(replica.servable)) {
@@ -295,7 +299,8 @@
   return groups;
 }
 
-/// @return the cheapest groups that together free the bytes, as one; nothing if all are too few.
+/// @return the cheapest groups that together free the bytes, merged into one; nothing if all of
+/// them together are too small.
 std::optional<SpaceFinder::EvictionGroup> SpaceFinder::cheapest(std::vector<EvictionGroup> groups,
                                                                 std::uint64_t bytes) const {
   std::stable_sort(
--- a/src/control/space_finder.h
+++ b/src/control/space_finder.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Where a replica can go: free memory, memory that is becoming free, and what could be evicted.
+/// Finds memory for replicas: free memory, memory that is being freed, and idle replicas to evict.
 
 #include <map>
 #include <optional>
@@ -16,39 +16,39 @@
 
 namespace walnut::control {
 
-/// A place with room.
+/// An accelerator with enough free memory for a replica.
 struct PlacementChoice {
   AcceleratorPlace place;
   base::Incarnation incarnation;
   LoadSource source = LoadSource::store;
 };
 
-/// Book of one run of the policy: what it has given away counts as taken. Invariant: the bytes
-/// promised on an accelerator are at most those that are free or will be once present unloads are
-/// confirmed.
+/// Tracks the memory that one run of the placement policy has assigned, and finds more. Memory
+/// assigned in this run counts as used. Invariant: the bytes promised on an accelerator never
+/// exceed those that are free now or will be once the current unloads are confirmed.
 class SpaceFinder {
  public:
   explicit SpaceFinder(const PlacementInput& input) : input_(input) {}
 
-  /// @return the best place with free memory.
+  /// @return the best accelerator with enough free memory.
   std::optional<PlacementChoice> findFree(const ReplicaNeed& need);
-  /// The need takes this place in this run.
+  /// Assigns the memory on this accelerator to the need for this run.
   void take(const ReplicaNeed& need, const AcceleratorPlace& place);
-  /// Keeps memory for the need that is becoming free.
-  /// @return false if there is none, or not enough.
+  /// Reserves memory that is being freed for the need.
+  /// @return false if there is not enough.
   bool awaitUnload(const ReplicaNeed& need);
-  /// Chooses idle replicas whose memory serves the need, and keeps it for the need.
-  /// @return replicas to unload, adapters before their model; empty if nothing helps.
+  /// Chooses idle replicas to evict for the need and reserves their memory for it.
+  /// @return replicas to unload, adapters before their model; empty if no eviction would help.
   std::vector<base::ReplicaId> evictFor(const ReplicaNeed& need);
-  /// The replica is being unloaded by a decision of this run.
+  /// Records that this run decided to unload the replica.
   void noteUnload(base::ReplicaId replica);
-  /// @return from where the servable would be loaded there.
+  /// @return the source from which the checkpoint would be loaded on this engine.
   LoadSource sourceAt(const base::EngineId& engine, const std::string& checkpoint) const;
-  /// @return how many accelerators were looked at in this run: a measure of its cost.
+  /// @return the number of accelerators examined in this run, a measure of its cost.
   std::size_t searched() const { return searched_; }
 
  private:
-  /// Replicas that go together, and what it costs to lose them.
+  /// Replicas that can only be evicted together, and the cost of losing them.
   struct EvictionGroup {
     std::vector<base::ReplicaId> replicas;
     std::uint64_t bytes = 0;
@@ -60,9 +60,9 @@
   };
 
   using Places = std::vector<AcceleratorPlace>;
-  /// Accelerators of a pool that take work, and sizes known to find nothing there in this run.
-  /// What is given away only grows within a run, so a larger size finds nothing either, until an
-  /// unload is decided.
+  /// Accelerators of a pool that take work, and the smallest sizes for which the search found
+  /// nothing in this run. Assigned memory only grows within a run, so larger sizes find nothing
+  /// either until an unload is decided.
   struct Pool {
     Places places;
     std::uint64_t noneFree = UINT64_MAX;
@@ -74,7 +74,7 @@
   Places placesOfAdapter(const ReplicaNeed& need) const;
   bool fits(const ReplicaNeed& need, const AcceleratorPlace& place) const;
   std::uint64_t freeBytes(const AcceleratorPlace& place) const;
-  /// Free and becoming free, less what is promised.
+  /// @return free memory plus memory being freed, minus promised memory, in bytes.
   std::uint64_t comingBytes(const AcceleratorPlace& place) const;
   PlaceReplica placementAt(const ReplicaNeed& need, const AcceleratorPlace& place) const;
   bool servableMayGoTo(const ReplicaNeed& need, const AcceleratorPlace& place) const;
@@ -88,7 +88,7 @@
   double valueOf(const resource::Replica& replica) const;
   std::optional<EvictionGroup> cheapest(std::vector<EvictionGroup> groups,
                                         std::uint64_t bytes) const;
-  /// @return bytes by which the need is over its budget, unloads that are under way left out.
+  /// @return the bytes by which the need exceeds its budget, without regard to unloads in progress.
   std::uint64_t overBudget(const ReplicaNeed& need);
   std::vector<base::ReplicaId> evictWithinBudget(const ReplicaNeed& need, std::uint64_t bytes);
   const std::map<std::string, BudgetUse>& budgets();
@@ -96,15 +96,18 @@
 
   const PlacementInput& input_;
   std::size_t searched_ = 0;
-  std::map<AcceleratorPlace, std::uint64_t> taken_;     ///< Of what is free now.
-  std::map<AcceleratorPlace, std::uint64_t> promised_;  ///< Of what is free or becoming free.
-  std::map<AcceleratorPlace, std::uint64_t> unloaded_;  ///< By decisions of this run.
+  /// Bytes assigned from memory that is free now.
+  std::map<AcceleratorPlace, std::uint64_t> taken_;
+  /// Bytes assigned from memory that is free or being freed.
+  std::map<AcceleratorPlace, std::uint64_t> promised_;
+  /// Bytes that decisions of this run will free.
+  std::map<AcceleratorPlace, std::uint64_t> unloaded_;
   std::set<std::pair<AcceleratorPlace, resource::Servable>> takenFor_;
   ReplicaIds unloads_;
   std::optional<std::map<std::string, BudgetUse>> budgets_;
   std::map<std::string, std::uint64_t> budgetTaken_;
-  std::map<std::string, Pool> pools_;  ///< By name, as far as needed.
-  Pool adapterPool_;                   ///< For the adapter that is being looked at.
+  std::map<std::string, Pool> pools_;  ///< Pools by name, filled on first use.
+  Pool adapterPool_;                   ///< Accelerators for the adapter that is being examined.
 };
 
 }  // namespace walnut::control
--- a/src/control/target_planner.cpp
+++ b/src/control/target_planner.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Requests that one replica is expected to run at once; engines batch continuously, and more wait
-/// in turn.
+/// Number of requests that one replica is expected to run at once. Engines batch continuously;
+/// further requests queue.
 constexpr std::uint32_t kRequestsPerReplica = 16;
 
-/// Demand of one model with that of its adapters.
+/// Demand of one model including that of its adapters.
 struct ModelDemand {
   std::uint32_t load = 0;
   bool interactiveWaits = false;
@@ -66,7 +66,7 @@
   }
 
  private:
-  /// @return true if a replica of the target that was last used then is held.
+  /// @return true if a replica of the target with this last use is still to be held.
   bool held(const DemandTarget& target, base::TimePoint lastUse,
             const resource::ModelSpec& model) const {
     const HoldPlan& plan = keepAlive_.planOf(input_, usage_, target, model);
@@ -99,7 +99,7 @@
     for (auto entry = range.first; entry != range.second; ++entry) {
       const TotalDemand& total = entry->second;
       if (!entry->first.version.empty()) {
-        continue;  // Says nothing of what callers will ask for.
+        continue;  // Demand for a previous version does not predict future requests.
       }
       usage_.used(total.load() > 0 ? input_.now : std::min(input_.now, total.lastArrival),
                   entry->first);
@@ -107,7 +107,7 @@
   }
 
   using DemandIterator = std::map<DemandTarget, TotalDemand>::const_iterator;
-  /// @return the demand of the model and of its adapters.
+  /// @return the demand entries of the model and of its adapters.
   std::pair<DemandIterator, DemandIterator> demandRange(const std::string& model) const {
     auto end = input_.demand.lower_bound({model, "", ""});
     const auto begin = end;
@@ -119,9 +119,9 @@
 
   struct Serving {
     std::uint32_t all = 0;
-    /// Those of silent engines left out: if the limit allows, they are made up for. Until all
-    /// engines have had time to report, none counts as silent. Those of engines that fail what they
-    /// are sent are left out too.
+    /// Serving replicas on engines that are responsive and do not fail requests; the others are
+    /// replaced if the limit allows. Until all engines have had time to report, none counts as
+    /// unresponsive.
     std::uint32_t heard = 0;
   };
   Serving serving(const Servable& servable) const {
@@ -138,7 +138,8 @@
     return count;
   }
 
-  /// A replica that is in use is to be replaced: it has another version, or its engine is leaving.
+  /// @return true if a ready replica is to be replaced, because it has another version or its
+  /// engine is leaving.
   bool replacementWanted(const std::string& model, const std::string& version) const {
     const auto& servables = input_.ledger.servables();
     for (auto entry = servables.lower_bound(Servable{model, "", ""});
@@ -196,8 +197,9 @@
     return !target.version.empty() && target.version != model.activeVersion;
   }
 
-  /// Streams that may not be repeated go on with the weights that they began with, and their engine
-  /// leaves: one replica of those weights takes them up. The model's limit holds as ever.
+  /// Plans one replica of a previous version for streams that may not be repeated: they must
+  /// continue with the weights that they began with, and their engine is leaving. The model's
+  /// replica limit applies as usual.
   void planFormerVersion(const DemandTarget& target, const TotalDemand& total,
                          const resource::ModelSpec& model) {
     const auto* version = input_.state.findModelVersion(target.version);
@@ -229,7 +231,8 @@
     needOneOf(need);
   }
 
-  /// Asks for one replica unless there is one, or the limit is reached, or it is asked for already.
+  /// Adds a need for one replica unless one is serving, the limit is reached, or the need was added
+  /// before.
   void needOneOf(ReplicaNeed need) {
     const auto all = static_cast<std::uint32_t>(input_.state.replicaCount(need.servable));
     const bool allowed = all < need.model.maxReplicas;
@@ -240,7 +243,7 @@
     plan_.needs.push_back(std::move(need));
   }
 
-  /// @return the adapter's bytes if it has demand, else 0.
+  /// @return the memory of the adapter in bytes if it has demand, else 0.
   std::uint64_t planAdapter(const DemandTarget& target, const TotalDemand& total,
                             const resource::ModelSpec& model, ModelDemand& demand) {
     const auto* adapter = input_.state.findAdapter(target.adapter);
@@ -264,7 +267,7 @@
     return total.load() > 0 ? adapter->acceleratorBytes : 0;
   }
 
-  /// Turns wanted and present replicas into a need or a surplus.
+  /// Compares the target number of replicas with the present ones and records a need or a surplus.
   void settle(ReplicaNeed need, std::uint32_t wanted, std::uint32_t minReplicas) {
     planned_.insert(need.servable);
     const DemandTarget target = targetOf(need.servable);
@@ -299,7 +302,8 @@
     }
   }
 
-  /// The limit leaves no room beside a replica whose engine fails what it is sent: it goes first.
+  /// Unloads a replica on an engine that fails requests, when the replica limit leaves no room for
+  /// a replacement next to it.
   void unloadFailing(const Servable& servable) {
     for (const base::ReplicaId id : input_.ledger.of(servable)) {
       const Replica& replica = *input_.ledger.find(id);
@@ -310,7 +314,7 @@
     }
   }
 
-  /// Unloads serving replicas beyond `keep`, those with the fewest requests first.
+  /// Unloads the serving replicas in excess of `keep`, those with the fewest requests first.
   void unloadExtra(const Servable& servable, std::uint32_t keep) {
     std::vector<std::pair<std::uint32_t, base::ReplicaId>> serving;
     for (const base::ReplicaId id : input_.ledger.of(servable)) {
@@ -339,8 +343,8 @@
     return 0;
   }
 
-  /// What no present target of the model plans for: other versions, what was deleted, idle adapters
-  /// that no router reports, and everything on engines that take no work.
+  /// Plans replicas that no target of the model covers: other versions, deleted resources, idle
+  /// adapters that no router reports, and all replicas on engines that take no work.
   void planHeld(const std::string& model) {
     const auto& servables = input_.ledger.servables();
     for (auto entry = servables.lower_bound(Servable{model, "", ""});
@@ -383,7 +387,8 @@
     return adapter == nullptr || adapter->model != servable.model;
   }
 
-  /// A former version stays until the new one is ready, if the model is in use and served at all.
+  /// @return true if the replica of a previous version is kept until the new version is ready. This
+  /// holds only while the model is in use and may have replicas.
   bool awaitsSuccessor(const Servable& servable, const Replica& replica) const {
     const auto* model = input_.state.findModel(servable.model);
     if (model == nullptr || model->activeVersion.empty() || model->maxReplicas == 0 ||
@@ -432,9 +437,10 @@
   UsageTracker& usage_;
   KeepAliveTable& keepAlive_;
   TargetPlan plan_;
-  mutable std::map<std::string, base::TimePoint> dueAt_;  ///< Of what was asked of keepAlive_.
+  /// Earliest due time of each plan read from keepAlive_.
+  mutable std::map<std::string, base::TimePoint> dueAt_;
   ReplicaIds surplus_;
-  std::set<Servable> planned_;  ///< Servables that were settled.
+  std::set<Servable> planned_;  ///< Servables that were planned in this run.
 };
 
 }  // namespace
--- a/src/control/usage_tracker.h
+++ b/src/control/usage_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When targets and their replicas were last needed, as far as the leader has seen.
+/// Last use of targets and their replicas, as far as the leader has seen it.
 
 #include <map>
 
@@ -11,26 +11,28 @@
 
 namespace walnut::control {
 
-/// Also learns how long targets stay unused, at most some 0.5 KB for each. That isn't replicated: a
-/// new leader begins with none of it, holds for as long as a cold start is worth, and learns the
-/// usual gaps of the cell within hours, those of a model after a few uses. The log would otherwise
-/// carry an entry for each use.
-/// Starts with a leadership: what was used before counts as used at its start, so that a new leader
-/// unloads nothing early.
+/// Tracks when each target was last used and how long targets stay idle.
+/// The idle gaps take at most about 0.5 KB for each target. They are not replicated, since the log
+/// would otherwise carry an entry for each use: a new leader starts with none, holds replicas for
+/// as long as a cold start is worth, and learns the usual gaps of the cell within hours and those
+/// of a model after a few uses.
+/// The tracker starts with a leadership. Whatever was used before counts as used at its start, so
+/// that a new leader unloads nothing early.
 class UsageTracker {
  public:
   explicit UsageTracker(base::TimePoint since) : since_(since) {}
 
-  /// The target had demand, or one of its replicas ran requests. Use of an adapter is use of its
-  /// model too.
+  /// Records that the target had demand or that one of its replicas ran requests. Use of an adapter
+  /// is also use of its model.
   void used(base::TimePoint at, const DemandTarget& target);
-  /// All present replicas of the servable were needed.
+  /// Records that all present replicas of the servable were needed.
   void fullyUsed(base::TimePoint at, const resource::Servable& servable);
 
-  /// @return idle gaps of the target, or null if it was not used twice.
+  /// @return the idle gaps of the target, or null if it was not used twice.
   const IdleGapHistogram* gapsOf(const DemandTarget& target) const;
   const IdleGapHistogram& allGaps() const { return allGaps_; }
-  /// The model or adapter was deleted: its gaps go, so that their size follows what is declared.
+  /// Removes the gaps of a deleted model or adapter, so that memory use follows the declared
+  /// resources.
   void forgetGaps(const resource::Key& key);
 
   base::TimePoint lastUse(const DemandTarget& target) const;
@@ -39,7 +41,8 @@
  private:
   void recordGap(const DemandTarget& target, base::Duration gap);
 
-  /// Of the gaps of all targets: enough that some hundred rare ones count.
+  /// Weight limit for the gaps of all targets together; high enough that some hundred rarely used
+  /// targets count.
   static constexpr double kAllLimit = 4096;
 
   base::TimePoint since_;
--- a/src/control/watch_sessions.cpp
+++ b/src/control/watch_sessions.cpp
@@ -6,12 +6,13 @@
 namespace walnut::control {
 
 namespace {
-/// Pages sent to one router in one push: paces routers that all start anew at once.
+/// Number of pages sent to one router in one push; it limits the load when all routers start from
+/// scratch at once.
 constexpr std::uint32_t kPagesPerPush = 4;
-/// Between deltas that only tell of a higher index, as claims make it. Half of the interval at
-/// which routers ask how far the log reaches, and far below the freshness limit.
+/// Interval between deltas that only report a higher index, as claims cause it. It is half of the
+/// interval at which routers ask for the end of the log, and far below the freshness limit.
 constexpr base::Duration kIndexInterval = std::chrono::milliseconds(250);
-/// How long a capture of the whole state is shared by routers that ask for it.
+/// Time for which a capture of the whole state is shared by routers that request it.
 constexpr base::Duration kCaptureShared = std::chrono::milliseconds(200);
 }  // namespace
 
@@ -52,7 +53,7 @@
 
 void WatchSessions::tick(base::TimePoint now) {
   if (capture_ && now >= capture_->takenAt + kCaptureShared) {
-    capture_.reset();  // Sessions that page through it hold it themselves.
+    capture_.reset();  // Sessions that page through it hold their own reference.
   }
   if (now < nextPushAt_) {
     return;
@@ -89,8 +90,8 @@
   }
 }
 
-/// A router may be ahead of this server; it then ignores the delta, which only shows that the
-/// connection is alive.
+/// Sends a delta up to the applied index. A router may be ahead of this server; it then ignores the
+/// delta, which only shows that the connection works.
 void WatchSessions::sendDelta(base::TimePoint now, protocol::ConnectionId connection,
                               Session& session, std::vector<protocol::Change> changes) {
   protocol::WatchDelta delta;
--- a/src/control/watch_sessions.h
+++ b/src/control/watch_sessions.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Routers that watch the cell's state at this server. Any server serves them from what it has
-/// applied.
+/// Sessions of routers that watch the cell's state on this server. Any server serves them from the
+/// entries that it has applied.
 
 #include <map>
 #include <memory>
@@ -12,10 +12,10 @@
 
 namespace walnut::control {
 
-/// States of a session:
-///   paging   -> following when the last page of the whole state is sent
-///   following -> paging    when the history no longer reaches back to what was sent
-/// Invariant: what was sent to a router only grows in index, within one request.
+/// Sends the state and its changes to each watching router. States of a session:
+///   paging    -> following  when the last page of the whole state is sent
+///   following -> paging     when the history no longer reaches back to the index sent last
+/// Invariant: within one request, the index sent to a router only grows.
 class WatchSessions {
  public:
   /// All references outlive this object.
@@ -23,19 +23,19 @@
                 std::vector<ControllerAction>& actions)
       : options_(options), state_(state), actions_(actions) {}
 
-  /// Begins a watch, or begins it anew.
+  /// Starts or restarts a watch.
   void request(base::TimePoint now, protocol::ConnectionId connection,
                const protocol::WatchRequest& request);
   void closed(protocol::ConnectionId connection);
-  /// The state machine has applied entries that changed what routers watch.
+  /// Schedules deltas after entries that changed the watched state.
   void stateChanged(base::TimePoint now);
-  /// The state machine has applied entries that changed nothing of it.
+  /// Schedules deltas after entries that only raised the index.
   void indexMoved(base::TimePoint now);
   void tick(base::TimePoint now);
   base::TimePoint nextWakeup() const { return nextPushAt_; }
 
  private:
-  /// The whole state at an index, shared by the sessions that page through it.
+  /// Copy of the whole state at an index, shared by the sessions that page through it.
   struct Capture {
     consensus::LogIndex index = 0;
     base::TimePoint takenAt;
@@ -47,7 +47,7 @@
     std::shared_ptr<const Capture> paging;  ///< Set in state paging.
     std::uint32_t nextPage = 0;
   };
-  /// Deltas of one round, by the index that they begin at.
+  /// Deltas of one push, by the index at which they begin.
   using Deltas = std::map<consensus::LogIndex, std::optional<std::vector<protocol::Change>>>;
 
   void push(base::TimePoint now, protocol::ConnectionId connection, Session& session,
@@ -63,8 +63,8 @@
   const CellState& state_;
   std::vector<ControllerAction>& actions_;
   std::map<protocol::ConnectionId, Session> sessions_;
-  std::shared_ptr<const Capture> capture_;  ///< The latest one.
-  consensus::LogIndex changedIndex_ = 0;    ///< Of the last change.
+  std::shared_ptr<const Capture> capture_;  ///< The latest capture.
+  consensus::LogIndex changedIndex_ = 0;    ///< Index of the last change.
   base::TimePoint nextPushAt_ = base::kNever;
 };
 
