--- a/include/walnut/control/commands.h
+++ b/include/walnut/control/commands.h
@@ -69,10 +69,10 @@
   base::AcceleratorIndex accelerator;
   std::uint64_t bytes = 0;
   /// True if the replica is for streams that began with a version that is no longer the active one.
-  bool formerVersion = false;
+  bool previousVersion = false;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(servable, engine, incarnation, accelerator, bytes, formerVersion);
+    archive(servable, engine, incarnation, accelerator, bytes, previousVersion);
   }
 };
 
--- a/src/control/api_service.cpp
+++ b/src/control/api_service.cpp
@@ -15,7 +15,7 @@
 /// Time until a forwarded request without an answer is forwarded again, because the message or its
 /// answer may have been lost with a connection. It is several times the duration of a commit, so
 /// that this is rare.
-constexpr base::Duration kForwardAgainAfter = std::chrono::seconds(1);
+constexpr base::Duration kForwardRetryInterval = std::chrono::seconds(1);
 }  // namespace
 
 void ApiService::call(base::TimePoint now, const ApiCall& call) {
@@ -79,7 +79,7 @@
 
 /// Puts a request back into state waiting. A request of another server is answered `notLeader`
 /// instead, because that server knows best which server to ask next.
-void ApiService::wait(base::TimePoint now, RequestNumber number) {
+void ApiService::returnToWaiting(base::TimePoint now, RequestNumber number) {
   Request& request = requests_.at(number);
   if (request.isRemote()) {
     answer(number, base::Error{base::ErrorCode::notLeader, "", "this server does not lead"});
@@ -92,7 +92,7 @@
 /// Dispatches requests again that were given to a previous leader. A remote write whose entry is
 /// still in the log is left alone: its outcome may still become visible, and the server that
 /// forwarded it asks again.
-void ApiService::noticeLeaderChange(base::TimePoint now) {
+void ApiService::handleLeaderChange(base::TimePoint now) {
   const consensus::RaftStatus status = raft_.status();
   if (status.term == seenTerm_ && status.leader == seenLeader_) {
     return;
@@ -106,7 +106,7 @@
     }
   }
   for (const RequestNumber number : affected) {
-    wait(now, number);
+    returnToWaiting(now, number);
     const auto kept = requests_.find(number);
     if (kept != requests_.end()) {
       kept->second.retryAt = now;
@@ -118,7 +118,7 @@
   if (requests_.empty()) {
     return;
   }
-  noticeLeaderChange(now);
+  handleLeaderChange(now);
   std::vector<RequestNumber> due;
   std::vector<RequestNumber> overdue;
   for (const auto& [number, request] : requests_) {
@@ -129,7 +129,7 @@
     }
   }
   for (const RequestNumber number : overdue) {
-    giveUp(number);
+    answerOverdue(number);
   }
   for (const RequestNumber number : due) {
     dispatch(now, number);
@@ -148,18 +148,18 @@
   Request& request = requests_.at(number);
   const consensus::RaftStatus status = raft_.status();
   if (request.isRemote() || status.leader == base::ServerId{} || status.leader == status.self) {
-    wait(now, number);
+    returnToWaiting(now, number);
     return;
   }
   auto send = peers_.sendTo(status.leader, protocol::ForwardedRequest{number, request.request});
   if (!send) {
-    wait(now, number);
+    returnToWaiting(now, number);
     return;
   }
   actions_.push_back(std::move(*send));
   request.state = State::forwarded;
-  request.retryAt = now + kForwardAgainAfter;
-  request.mayHaveRun = request.mayHaveRun || isWrite(request.request);
+  request.retryAt = now + kForwardRetryInterval;
+  request.mayHaveTakenEffect = request.mayHaveTakenEffect || isWrite(request.request);
 }
 
 void ApiService::forwardedReply(base::TimePoint now, const protocol::ForwardedReply& reply) {
@@ -168,7 +168,7 @@
     return;
   }
   if (reply.reply.error && reply.reply.error->code == base::ErrorCode::notLeader) {
-    wait(now, reply.sequence);
+    returnToWaiting(now, reply.sequence);
     return;
   }
   answer(reply.sequence, reply.reply);
@@ -196,16 +196,16 @@
   Request& request = requests_.at(number);
   if (index.has_error()) {
     request.refusal = index.error();
-    wait(now, number);
+    returnToWaiting(now, number);
     return;
   }
   request.state = State::proposed;
   request.index = index.value();
-  request.mayHaveRun = true;
+  request.mayHaveTakenEffect = true;
   const auto replaced = pending_.add(index.value(), log_.term(), number);
   if (replaced && requests_.contains(*replaced) &&
       requests_.at(*replaced).state == State::proposed) {
-    wait(now, *replaced);
+    returnToWaiting(now, *replaced);
   }
 }
 
@@ -228,7 +228,7 @@
     return;
   }
   if (state_.appliedIndex() < status.membershipIndex) {
-    wait(now, number);  // The change is in the log but not yet committed.
+    returnToWaiting(now, number);  // The change is in the log but not yet committed.
     return;
   }
   protocol::ApiReply reply;
@@ -244,7 +244,7 @@
   const Request& request = requests_.at(settled->waiter);
   if (!settled->applied) {
     if (request.state == State::proposed && request.index == entry.index) {
-      wait(now, settled->waiter);
+      returnToWaiting(now, settled->waiter);
     }
     return;
   }
@@ -268,7 +268,7 @@
       // The server that forwarded it asks again or reports the outcome as unknown.
       requests_.erase(found);
     } else if (found->second.state == State::proposed) {
-      wait(now, number);
+      returnToWaiting(now, number);
     }
   }
 }
@@ -276,7 +276,7 @@
 void ApiService::beginRead(base::TimePoint now, RequestNumber number) {
   const auto token = raft_.beginRead(now);
   if (token.has_error()) {
-    wait(now, number);
+    returnToWaiting(now, number);
     return;
   }
   Request& request = requests_.at(number);
@@ -295,7 +295,7 @@
     const Request& request = requests_.at(number);
     const auto ready = raft_.readReady(request.readToken);
     if (ready.has_error()) {
-      wait(now, number);
+      returnToWaiting(now, number);
     } else if (ready.value() && *ready.value() <= state_.appliedIndex()) {
       answer(number, read(request.request));
     }
@@ -344,9 +344,9 @@
   return status;
 }
 
-void ApiService::giveUp(RequestNumber number) {
+void ApiService::answerOverdue(RequestNumber number) {
   const Request& request = requests_.at(number);
-  if (request.mayHaveRun) {
+  if (request.mayHaveTakenEffect) {
     answer(number, base::Error{base::ErrorCode::outcomeUnknown, "",
                                "no answer of a leader in time: resend with the same request id"});
     return;
--- a/src/control/api_service.h
+++ b/src/control/api_service.h
@@ -56,7 +56,8 @@
   /// Raft's outputs are taken.
   void flush(base::TimePoint now);
   void applied(base::TimePoint now, const AppliedEntry& entry);
-  /// The outcome of entries up to `index` can't be seen any more.
+  /// Handles a snapshot that replaced the entries up to `index`, whose outcome is no longer
+  /// visible.
   void snapshotInstalled(base::TimePoint now, consensus::LogIndex index);
   /// Answers the confirmed reads. Must be called after entries were applied.
   void answerReads(base::TimePoint now);
@@ -76,7 +77,7 @@
     base::TimePoint retryAt;        ///< Time of the next attempt, in states waiting and forwarded.
     std::uint64_t readToken = 0;    ///< Raft read token, in state reading.
     consensus::LogIndex index = 0;  ///< Log index, in state proposed.
-    bool mayHaveRun = false;        ///< True for a write that was forwarded or proposed.
+    bool mayHaveTakenEffect = false;     ///< True for a write that was forwarded or proposed.
     std::optional<base::Error> refusal;  ///< Reason why the last dispatch was refused.
 
     bool mayBeDispatched() const { return state == State::waiting || state == State::forwarded; }
@@ -87,8 +88,8 @@
   void add(base::TimePoint now, Request request);
   void answer(RequestNumber number, protocol::ApiReply reply);
   void answer(RequestNumber number, base::Error error);
-  void wait(base::TimePoint now, RequestNumber number);
-  void noticeLeaderChange(base::TimePoint now);
+  void returnToWaiting(base::TimePoint now, RequestNumber number);
+  void handleLeaderChange(base::TimePoint now);
   void dispatch(base::TimePoint now, RequestNumber number);
   void dispatchAsLeader(base::TimePoint now, RequestNumber number);
   void forward(base::TimePoint now, RequestNumber number);
@@ -97,7 +98,7 @@
   void changeMember(base::TimePoint now, RequestNumber number);
   void proposed(base::TimePoint now, RequestNumber number,
                 const base::Result<consensus::LogIndex>& index);
-  void giveUp(RequestNumber number);
+  void answerOverdue(RequestNumber number);
   protocol::ApiReply read(const protocol::ApiRequest& request) const;
   protocol::CellStatus status() const;
 
--- a/src/control/cell_ledger.cpp
+++ b/src/control/cell_ledger.cpp
@@ -68,10 +68,10 @@
 
 void CellLedger::assignBudget(const std::string& model, const std::string& budget) {
   const std::uint64_t bytes = valueOr0(bytesByModel_, model);
-  const auto former = budgetByModel_.find(model);
-  if (former != budgetByModel_.end()) {
-    subtract(bytesByBudget_, former->second, bytes);
-    budgetByModel_.erase(former);
+  const auto previous = budgetByModel_.find(model);
+  if (previous != budgetByModel_.end()) {
+    subtract(bytesByBudget_, previous->second, bytes);
+    budgetByModel_.erase(previous);
   }
   if (!budget.empty()) {
     budgetByModel_[model] = budget;
--- a/src/control/cell_placement_rules.cpp
+++ b/src/control/cell_placement_rules.cpp
@@ -29,7 +29,7 @@
   if (version == nullptr || version->model != servable.model) {
     return Error{ErrorCode::referenceMissing, "servable.version", "no such version of the model"};
   }
-  if (model->activeVersion != servable.version && !placement.formerVersion) {
+  if (model->activeVersion != servable.version && !placement.previousVersion) {
     return Error{ErrorCode::versionConflict, "servable.version", "not the active version"};
   }
   if (servable.adapter.empty()) {
@@ -73,8 +73,8 @@
 }
 
 /// Checks the rules that concern replicas already on the engine.
-base::Result<void> checkHeld(const CellContents& contents, const CellLedger& ledger,
-                             const PlaceReplica& placement) {
+base::Result<void> checkPresentReplicas(const CellContents& contents, const CellLedger& ledger,
+                                        const PlaceReplica& placement) {
   resource::Servable baseServable = placement.servable;
   baseServable.adapter.clear();
   bool baseReady = placement.servable.adapter.empty();
@@ -127,7 +127,7 @@
   if (placement.bytes != target.bytes) {
     return Error{ErrorCode::outOfRange, "bytes", "not the accelerator bytes of the spec"};
   }
-  BOOST_OUTCOME_TRYV(checkHeld(contents, ledger, placement));
+  BOOST_OUTCOME_TRYV(checkPresentReplicas(contents, ledger, placement));
   return checkLimits(contents, ledger, *target.model, placement);
 }
 
--- a/src/control/cell_state.cpp
+++ b/src/control/cell_state.cpp
@@ -138,14 +138,14 @@
   }
   resource::Resource& stored = contents_.resources[key];
   const bool replaced = stored.version != 0;
-  const resource::Resource former = std::exchange(stored, put.resource);
+  const resource::Resource previous = std::exchange(stored, put.resource);
   stored.version = contents_.appliedIndex;
   changes_.emplace_back(protocol::ResourceChanged{stored});
   if (const auto* model = std::get_if<resource::ModelSpec>(&stored.spec)) {
     ledger_.assignBudget(key.name, model->budget);
   }
   if (replaced) {
-    beginUnloadOutdated(former, &stored);
+    beginUnloadOutdated(previous, &stored);
   }
   return {std::nullopt, stored.version, 0};
 }
@@ -155,21 +155,21 @@
     return refuseWrite(std::move(*error), remove.key);
   }
   const auto found = contents_.resources.find(remove.key);
-  const resource::Resource former = std::move(found->second);
+  const resource::Resource previous = std::move(found->second);
   contents_.resources.erase(found);
   changes_.emplace_back(protocol::ResourceDeleted{remove.key});
   if (remove.key.kind == Kind::model) {
     ledger_.assignBudget(remove.key.name, {});
   }
-  beginUnloadOutdated(former, nullptr);
+  beginUnloadOutdated(previous, nullptr);
   return {std::nullopt, contents_.appliedIndex, 0};
 }
 
-void CellState::beginUnloadOutdated(const resource::Resource& former,
+void CellState::beginUnloadOutdated(const resource::Resource& previous,
                                     const resource::Resource* replacement) {
-  for (const base::ReplicaId id : ledger_.replicasOfModel(modelOfWeights(former))) {
+  for (const base::ReplicaId id : ledger_.replicasOfModel(modelOfWeights(previous))) {
     resource::Replica& replica = contents_.replicas.at(id);
-    if (replica.state != ReplicaState::unloading && outdates(former, replacement, replica)) {
+    if (replica.state != ReplicaState::unloading && outdates(previous, replacement, replica)) {
       beginUnload(replica);
     }
   }
--- a/src/control/cell_state.h
+++ b/src/control/cell_state.h
@@ -117,7 +117,8 @@
   WriteOutcome put(const PutResource& put);
   WriteOutcome erase(const DeleteResource& remove);
 
-  void beginUnloadOutdated(const resource::Resource& former, const resource::Resource* replacement);
+  void beginUnloadOutdated(const resource::Resource& previous,
+                           const resource::Resource* replacement);
   resource::Replica* findReplica(base::ReplicaId id);
   void setState(resource::Replica& replica, resource::ReplicaState state);
   /// Begins to unload the replica and the adapters on top of it on the same accelerator.
--- a/src/control/cell_write_rules.cpp
+++ b/src/control/cell_write_rules.cpp
@@ -156,16 +156,16 @@
   return adapter == nullptr ? std::string() : adapter->model;
 }
 
-bool outdates(const Resource& former, const Resource* replacement,
+bool outdates(const Resource& previous, const Resource* replacement,
               const resource::Replica& replica) {
-  if (replacement != nullptr && replacement->spec == former.spec) {
+  if (replacement != nullptr && replacement->spec == previous.spec) {
     return false;
   }
-  switch (former.key.kind) {
+  switch (previous.key.kind) {
     case Kind::modelVersion:
-      return replica.servable.version == former.key.name;
+      return replica.servable.version == previous.key.name;
     case Kind::adapter:
-      return replica.servable.adapter == former.key.name;
+      return replica.servable.adapter == previous.key.name;
     case Kind::model:
     case Kind::capacityBudget:
     case Kind::enginePool:
--- a/src/control/cell_write_rules.h
+++ b/src/control/cell_write_rules.h
@@ -47,7 +47,7 @@
 
 /// @return true if the change makes the replica's weights differ from those that its names refer
 /// to. Such a replica begins to unload with the change.
-bool outdates(const resource::Resource& former, const resource::Resource* replacement,
+bool outdates(const resource::Resource& previous, const resource::Resource* replacement,
               const resource::Replica& replica);
 
 }  // namespace walnut::control
--- a/src/control/claim_service.cpp
+++ b/src/control/claim_service.cpp
@@ -12,18 +12,18 @@
 void ClaimService::request(protocol::ConnectionId connection,
                            const protocol::ClaimRequest& request) {
   claims_.push_back(request.claim);
-  askers_.push_back({connection, request.sequence});
+  requesters_.push_back({connection, request.sequence});
 }
 
 void ClaimService::flush(base::TimePoint now) {
   std::vector<ClaimKey> claims = std::exchange(claims_, {});
-  Askers askers = std::exchange(askers_, {});
+  Requesters requesters = std::exchange(requesters_, {});
   for (std::size_t first = 0; first < claims.size(); first += kMaxClaimsPerEntry) {
     const std::size_t last = std::min(claims.size(), first + kMaxClaimsPerEntry);
     const auto begin = static_cast<std::ptrdiff_t>(first);
     const auto end = static_cast<std::ptrdiff_t>(last);
     ClaimKeys batch{{claims.begin() + begin, claims.begin() + end}};
-    Askers waiting(askers.begin() + begin, askers.begin() + end);
+    Requesters waiting(requesters.begin() + begin, requesters.begin() + end);
     const auto index = log_.propose(now, std::move(batch));
     if (index.has_error()) {
       refuse(waiting);
@@ -52,14 +52,14 @@
 
 void ClaimService::snapshotInstalled(consensus::LogIndex index) { pending_.dropUpTo(index); }
 
-void ClaimService::answer(const Asker& asker, ClaimOutcome outcome) {
+void ClaimService::answer(const Requester& requester, ClaimOutcome outcome) {
   actions_.emplace_back(
-      SendToConnection{asker.connection, protocol::ClaimReply{asker.sequence, outcome}});
+      SendToConnection{requester.connection, protocol::ClaimReply{requester.sequence, outcome}});
 }
 
-void ClaimService::refuse(const Askers& askers) {
-  for (const Asker& asker : askers) {
-    answer(asker, ClaimOutcome::unavailable);
+void ClaimService::refuse(const Requesters& requesters) {
+  for (const Requester& requester : requesters) {
+    answer(requester, ClaimOutcome::unavailable);
   }
 }
 
--- a/src/control/claim_service.h
+++ b/src/control/claim_service.h
@@ -26,21 +26,21 @@
   void snapshotInstalled(consensus::LogIndex index);
 
  private:
-  struct Asker {
+  struct Requester {
     protocol::ConnectionId connection;
     std::uint64_t sequence = 0;
   };
-  using Askers = std::vector<Asker>;
+  using Requesters = std::vector<Requester>;
 
-  void answer(const Asker& asker, ClaimOutcome outcome);
-  void refuse(const Askers& askers);
+  void answer(const Requester& requester, ClaimOutcome outcome);
+  void refuse(const Requesters& requesters);
 
   CommandLog& log_;
   std::vector<ControllerAction>& actions_;
-  /// Claims that arrived since the last flush, one for each of askers_.
+  /// Claims that arrived since the last flush, one for each of requesters_.
   std::vector<ClaimKey> claims_;
-  Askers askers_;
-  PendingEntries<Askers> pending_;
+  Requesters requesters_;
+  PendingEntries<Requesters> pending_;
 };
 
 }  // namespace walnut::control
--- a/src/control/claim_table.cpp
+++ b/src/control/claim_table.cpp
@@ -12,8 +12,8 @@
     const bool repeated = found->second.request == claim.request;
     return repeated ? ClaimOutcome::granted : ClaimOutcome::duplicate;
   }
-  const base::TimePoint knownSince = std::max(now - window_, foundedAt_);
-  if (claim.issuedAt < knownSince || claim.issuedAt > now + clockSkew_) {
+  const base::TimePoint earliestIssue = std::max(now - window_, foundedAt_);
+  if (claim.issuedAt < earliestIssue || claim.issuedAt > now + clockSkew_) {
     return ClaimOutcome::expired;
   }
   const auto granted = claims_.emplace(claim.key, Claim{claim.request, now}).first;
--- a/src/control/controller_impl.cpp
+++ b/src/control/controller_impl.cpp
@@ -12,7 +12,7 @@
 namespace {
 /// A snapshot is taken once the log since the last one reaches this fraction (1/n) of that
 /// snapshot's size.
-constexpr std::size_t kSnapshotShare = 4;
+constexpr std::size_t kSnapshotLogFraction = 4;
 }  // namespace
 
 ControllerImpl::ControllerImpl(const ControllerOptions& options, base::CellId cell,
@@ -33,7 +33,7 @@
 
 void ControllerImpl::step(base::TimePoint now, const ControllerInput& input) {
   now_ = std::max(now_, now);
-  moreToDo_ = false;
+  hasMoreOutputs_ = false;
   std::visit([this](const auto& body) { handle(body); }, input);
 }
 
@@ -84,7 +84,7 @@
 
 void ControllerImpl::receive(protocol::ConnectionId from, const consensus::Message& message) {
   if (peers_.isServer(from, message.from) && message.to == raft_->status().self) {
-    peers_.heard(from, message.from);
+    peers_.recordContact(from, message.from);
     raft_->receive(now_, message);
   }
 }
@@ -108,7 +108,7 @@
 
 void ControllerImpl::receive(protocol::ConnectionId, const protocol::DemandReport& report) {
   if (raft_->status().role == consensus::Role::leader) {
-    const bool taken = demand_.take(now_, report);
+    const bool taken = demand_.applyReport(now_, report);
     if (taken && leadership_) {
       leadership_->outcomesReported(now_, report);
     }
@@ -132,9 +132,9 @@
   }
 }
 
-void ControllerImpl::followLeadership() {
+void ControllerImpl::updateLeadership() {
   const consensus::RaftStatus status = raft_->status();
-  peers_.learn(status.membership);
+  peers_.updateEndpoints(status.membership);
   const bool leads = status.role == consensus::Role::leader;
   if (leads && halted_) {
     raft_->transferLeadership(now_);
@@ -164,11 +164,11 @@
 }
 
 ControllerOutputs ControllerImpl::takeOutputs() {
-  followLeadership();
+  updateLeadership();
   runServices();
-  continueStop();
+  continueShutdown();
   consensus::RaftOutputs raft = raft_->takeOutputs();
-  followLeadership();
+  updateLeadership();
   send(std::move(raft.messages));
   if (raft.installed) {
     install(*raft.installed);
@@ -208,7 +208,7 @@
   api_.snapshotInstalled(now_, snapshot.lastIndex);
   watches_.stateChanged(now_);
   operatorWatches_.stateChanged(now_);
-  moreToDo_ = true;
+  hasMoreOutputs_ = true;
 }
 
 /// Announces the changes of newly applied entries. Entries with claims change nothing that watchers
@@ -217,13 +217,13 @@
   StateChange change;
   change.changes = state_.history().since(from);
   if (change.changes && change.changes->empty()) {
-    watches_.indexMoved(now_);
+    watches_.indexAdvanced(now_);
     return;
   }
   if (change.changes) {
-    LedgerIndex::Touched touched = ledger_.update(*change.changes);
-    change.engines = std::move(touched.engines);
-    change.models = std::move(touched.models);
+    LedgerIndex::ChangedObjects objects = ledger_.update(*change.changes);
+    change.engines = std::move(objects.engines);
+    change.models = std::move(objects.models);
   } else {
     ledger_.rebuild(state_);
   }
@@ -242,7 +242,7 @@
   for (const consensus::LogEntry& entry : entries) {
     const AppliedEntry applied{entry.index, entry.term, applyOne(entry)};
     appliedTerm_ = entry.term;
-    logBytes_ += entry.payload.size();
+    logBytesSinceSnapshot_ += entry.payload.size();
     claims_.applied(applied);
     api_.applied(now_, applied);
     if (leadership_) {
@@ -250,7 +250,7 @@
     }
   }
   stateChanged(before);
-  moreToDo_ = true;
+  hasMoreOutputs_ = true;
 }
 
 ApplyResult ControllerImpl::applyOne(const consensus::LogEntry& entry) {
@@ -276,15 +276,15 @@
 void ControllerImpl::compactIfDue() {
   const bool enoughEntries =
       state_.appliedIndex() >= snapshotIndex_ + options_.snapshotEveryEntries;
-  if (!enoughEntries || logBytes_ < snapshotBytes_ / kSnapshotShare) {
+  if (!enoughEntries || logBytesSinceSnapshot_ < snapshotBytes_ / kSnapshotLogFraction) {
     return;
   }
   snapshotIndex_ = state_.appliedIndex();
   std::string snapshot = state_.encodeSnapshot();
   snapshotBytes_ = snapshot.size();
-  logBytes_ = 0;
+  logBytesSinceSnapshot_ = 0;
   raft_->compact(snapshotIndex_, std::move(snapshot), options_.snapshotKeepEntries);
-  moreToDo_ = true;
+  hasMoreOutputs_ = true;
 }
 
 bool ControllerImpl::isOnlyVoter(const consensus::RaftStatus& status) const {
@@ -295,16 +295,17 @@
                       });
 }
 
-void ControllerImpl::continueStop() {
+void ControllerImpl::continueShutdown() {
   if (!stopDeadline_ || stopped_) {
     return;
   }
   const consensus::RaftStatus status = raft_->status();
-  const bool mustHandOver = status.role == consensus::Role::leader && !isOnlyVoter(status);
-  if (mustHandOver) {
+  const bool mustTransferLeadership =
+      status.role == consensus::Role::leader && !isOnlyVoter(status);
+  if (mustTransferLeadership) {
     raft_->transferLeadership(now_);
   }
-  const bool finished = !mustHandOver && api_.idle();
+  const bool finished = !mustTransferLeadership && api_.idle();
   if (finished || now_ >= *stopDeadline_) {
     stopped_ = true;
     actions_.emplace_back(ControllerStopped{});
@@ -312,7 +313,7 @@
 }
 
 base::TimePoint ControllerImpl::nextWakeup() const {
-  if (moreToDo_) {
+  if (hasMoreOutputs_) {
     return now_;
   }
   base::TimePoint wakeup = std::min({raft_->nextWakeup(), api_.nextWakeup(), watches_.nextWakeup(),
--- a/src/control/controller_impl.h
+++ b/src/control/controller_impl.h
@@ -64,7 +64,7 @@
   template <class Other>
   void receive(protocol::ConnectionId, const Other&) {}
 
-  void followLeadership();
+  void updateLeadership();
   void runServices();
   void send(std::vector<consensus::Message> messages);
   void install(const consensus::Snapshot& snapshot);
@@ -72,7 +72,7 @@
   void stateChanged(consensus::LogIndex from);
   ApplyResult applyOne(const consensus::LogEntry& entry);
   void compactIfDue();
-  void continueStop();
+  void continueShutdown();
   bool isOnlyVoter(const consensus::RaftStatus& status) const;
 
   ControllerOptions options_;
@@ -92,12 +92,13 @@
   std::uint64_t nextCall_ = 1;
   consensus::Term appliedTerm_ = 0;  ///< Term of the last applied entry.
   std::size_t snapshotBytes_ = 0;    ///< Size of the last snapshot taken.
-  std::size_t logBytes_ = 0;         ///< Bytes of log entries applied since the last snapshot.
+  std::size_t logBytesSinceSnapshot_ =
+      0;  ///< Bytes of log entries applied since the last snapshot.
   consensus::LogIndex snapshotIndex_ = 0;  ///< Index of the last snapshot taken or installed.
   /// True after a snapshot could not be read: this server applies no further entries and gives up
   /// leadership.
   bool halted_ = false;
-  bool moreToDo_ = false;  ///< True if taking the last outputs has produced further ones.
+  bool hasMoreOutputs_ = false;  ///< True if taking the last outputs has produced further ones.
   std::optional<base::TimePoint> stopDeadline_;  ///< Set by a planned stop.
   bool stopped_ = false;
 };
--- a/src/control/crash_cover.cpp
+++ b/src/control/crash_cover.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-bool isPart(const CrashCover::Crashes& part, const CrashCover::Crashes& whole) {
-  return part != whole && (part & ~whole).none();
+bool isProperSubset(const CrashCover::Crashes& subset, const CrashCover::Crashes& superset) {
+  return subset != superset && (subset & ~superset).none();
 }
 
 CrashCover::Crashes unionOf(const CrashCover::Candidates& candidates) {
@@ -22,37 +22,38 @@
 }  // namespace
 
 CrashCover::CrashCover(const Candidates& candidates)
-    : all_(candidates), largest_(largest(candidates)) {}
+    : all_(candidates), maximalSets_(maximalSets(candidates)) {}
 
-CrashCover::Candidates CrashCover::largest(const Candidates& candidates) {
+CrashCover::Candidates CrashCover::maximalSets(const Candidates& candidates) {
   Candidates kept;
   std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(kept),
                [&candidates](const Crashes& each) {
-                 return std::none_of(candidates.begin(), candidates.end(),
-                                     [&each](const Crashes& other) { return isPart(each, other); });
+                 return std::none_of(
+                     candidates.begin(), candidates.end(),
+                     [&each](const Crashes& other) { return isProperSubset(each, other); });
                });
   return kept;
 }
 
-bool CrashCover::needs(const Crashes& candidate) {
-  const auto is = [&candidate](const Crashes& each) { return each == candidate; };
-  const bool isLargest = std::any_of(largest_.begin(), largest_.end(), is);
-  if (!isLargest || std::count_if(all_.begin(), all_.end(), is) > 1) {
+bool CrashCover::isNecessary(const Crashes& candidate) {
+  const auto isCandidate = [&candidate](const Crashes& each) { return each == candidate; };
+  const bool isMaximal = std::any_of(maximalSets_.begin(), maximalSets_.end(), isCandidate);
+  if (!isMaximal || std::count_if(all_.begin(), all_.end(), isCandidate) > 1) {
     return false;  // A superset, or an equal candidate, explains the same crashes.
   }
   Candidates others = all_;
-  std::erase_if(others, is);
+  std::erase_if(others, isCandidate);
   if ((candidate & ~unionOf(others)).any()) {
     return true;
   }
-  const Candidates with = connected(candidate);
-  const Crashes crashes = unionOf(with);
-  const std::size_t causes = least(crashes, with);
-  if (causes > kMostCauses) {
+  const Candidates connectedSets = connected(candidate);
+  const Crashes crashes = unionOf(connectedSets);
+  const std::size_t causes = minCauses(crashes, connectedSets);
+  if (causes > kMaxCauses) {
     return false;
   }
   std::erase_if(others, [&crashes](const Crashes& each) { return (each & crashes).none(); });
-  return least(crashes, largest(others)) > causes && steps_ <= kMostSteps;
+  return minCauses(crashes, maximalSets(others)) > causes && steps_ <= kMaxSteps;
 }
 
 CrashCover::Candidates CrashCover::connected(const Crashes& candidate) const {
@@ -60,34 +61,34 @@
   std::size_t before = 0;
   while (reached.count() != before) {
     before = reached.count();
-    for (const Crashes& each : largest_) {
+    for (const Crashes& each : maximalSets_) {
       reached |= (each & reached).any() ? each : Crashes();
     }
   }
   Candidates related;
-  std::copy_if(largest_.begin(), largest_.end(), std::back_inserter(related),
+  std::copy_if(maximalSets_.begin(), maximalSets_.end(), std::back_inserter(related),
                [&reached](const Crashes& each) { return (each & reached).any(); });
   return related;
 }
 
-std::size_t CrashCover::least(const Crashes& crashes, const Candidates& candidates) {
-  for (std::size_t causes = 1; causes <= kMostCauses && steps_ <= kMostSteps; ++causes) {
-    if (coverable(crashes, candidates, causes)) {
+std::size_t CrashCover::minCauses(const Crashes& crashes, const Candidates& candidates) {
+  for (std::size_t causes = 1; causes <= kMaxCauses && steps_ <= kMaxSteps; ++causes) {
+    if (canCover(crashes, candidates, causes)) {
       return causes;
     }
   }
-  return kMostCauses + 1;
+  return kMaxCauses + 1;
 }
 
-bool CrashCover::coverable(const Crashes& crashes, const Candidates& candidates,
-                           std::size_t causes) {
+bool CrashCover::canCover(const Crashes& crashes, const Candidates& candidates,
+                          std::size_t causes) {
   if (crashes.none()) {
     return true;
   }
-  if (causes == 0 || ++steps_ > kMostSteps) {
+  if (causes == 0 || ++steps_ > kMaxSteps) {
     return false;
   }
-  const std::size_t crash = hardest(crashes, candidates);
+  const std::size_t crash = mostConstrainedCrash(crashes, candidates);
   Candidates choices;
   for (const Crashes& each : candidates) {
     if (each.test(crash)) {
@@ -97,14 +98,14 @@
   std::sort(choices.begin(), choices.end(),
             [](const Crashes& left, const Crashes& right) { return left.count() > right.count(); });
   return std::any_of(choices.begin(), choices.end(), [&](const Crashes& choice) {
-    return coverable(crashes & ~choice, candidates, causes - 1);
+    return canCover(crashes & ~choice, candidates, causes - 1);
   });
 }
 
-std::size_t CrashCover::hardest(const Crashes& crashes, const Candidates& candidates) {
+std::size_t CrashCover::mostConstrainedCrash(const Crashes& crashes, const Candidates& candidates) {
   std::size_t found = 0;
   std::size_t fewest = candidates.size() + 1;
-  for (std::size_t crash = 0; crash < kMostCrashes; ++crash) {
+  for (std::size_t crash = 0; crash < kMaxCrashes; ++crash) {
     if (!crashes.test(crash)) {
       continue;
     }
--- a/src/control/crash_ledger.h
+++ b/src/control/crash_ledger.h
@@ -27,12 +27,12 @@
 /// The same limit for a request that is only known to have been queued at the crash, while another
 /// one was already running: on the users' platform the running request was the cause in 20 of 20
 /// crashes. The user documentation allows as many sends after the third crash as before it.
-inline constexpr std::size_t kQueuedLimit = 2 * kLimit;
+inline constexpr std::size_t kQueuedCrashLimit = 2 * kLimit;
 /// Number of crashes after which a request is refused unless other refused requests explain all of
 /// them: the user documentation allows three sends after the third crash.
-inline constexpr std::size_t kLastLimit = kLimit + 3;
+inline constexpr std::size_t kUnexplainedCrashLimit = kLimit + 3;
 /// Maximum number of suspected requests. A crash adds a few tens; each takes about 100 bytes.
-inline constexpr std::size_t kMostSuspects = 512;
+inline constexpr std::size_t kMaxSuspects = 512;
 
 }  // namespace crash
 
@@ -63,21 +63,21 @@
 
   /// Records the crash of a worker. @param begun requests that were running on it, without any part
   /// of an answer yet. @param queued requests of which it is unknown whether they were running.
-  void add(const Worker& worker, const std::vector<Subject>& begun,
+  void add(const Worker& worker, const std::vector<Subject>& running,
            const std::vector<Subject>& queued) {
-    if (!begun.empty() && begunAt_.insert(worker).second) {
-      demote(worker);
+    if (!running.empty() && workersWithRunningRequest_.insert(worker).second) {
+      moveToQueued(worker);
     }
-    for (const Subject& request : begun) {
-      note(request).crashes.insert(worker);
+    for (const Subject& request : running) {
+      touchEvidence(request).crashes.insert(worker);
     }
-    const bool explained = begunAt_.count(worker) != 0;
+    const bool hasRunning = workersWithRunningRequest_.count(worker) != 0;
     for (const Subject& request : queued) {
-      Evidence& evidence = note(request);
-      (explained ? evidence.queuedAt : evidence.crashes).insert(worker);
+      Evidence& evidence = touchEvidence(request);
+      (hasRunning ? evidence.queuedAt : evidence.crashes).insert(worker);
     }
-    while (evidence_.size() > crash::kMostSuspects) {
-      dropLeast();
+    while (evidence_.size() > crash::kMaxSuspects) {
+      evictWeakest();
     }
   }
 
@@ -87,7 +87,7 @@
       evidence.crashes.erase(worker);
       evidence.queuedAt.erase(worker);
     }
-    begunAt_.erase(worker);
+    workersWithRunningRequest_.erase(worker);
     std::erase_if(evidence_, [](const auto& entry) { return entry.second.empty(); });
   }
 
@@ -135,8 +135,8 @@
   /// several different causes can have more crashes than each of the causes. Requests with exactly
   /// the same crashes cannot be told apart: at the limit they are allowed to continue, since the
   /// next crash mostly involves only one of them; beyond it two of them are treated as one. At
-  /// `kLastLimit` every request is refused whose crashes are not explained by the requests already
-  /// found.
+  /// `kUnexplainedCrashLimit` every request is refused whose crashes are not explained by the
+  /// requests already found.
   std::set<Subject> guilty() const {
     std::set<Subject> guilty;
     Groups groups;
@@ -144,11 +144,11 @@
       if (evidence.crashes.size() + 1 >= crash::kLimit) {
         groups[{evidence.crashes, evidence.queuedAt}].push_back(request);
       }
-      if (evidence.crashes.size() + evidence.queuedAt.size() >= crash::kQueuedLimit) {
+      if (evidence.crashes.size() + evidence.queuedAt.size() >= crash::kQueuedCrashLimit) {
         guilty.insert(request);
       }
     }
-    for (const std::vector<Subject>* requests : needed(groups)) {
+    for (const std::vector<Subject>* requests : neededGroups(groups)) {
       guilty.insert(requests->begin(), requests->end());
     }
     return guilty;
@@ -168,31 +168,31 @@
   /// @return true if the request is at most one crash below a limit.
   static bool close(const Evidence& evidence) {
     return evidence.crashes.size() + 1 >= crash::kLimit ||
-           evidence.crashes.size() + evidence.queuedAt.size() + 1 >= crash::kQueuedLimit;
+           evidence.crashes.size() + evidence.queuedAt.size() + 1 >= crash::kQueuedCrashLimit;
   }
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(evidence_, begunAt_, count_);
+    archive(evidence_, workersWithRunningRequest_, crashSequence_);
   }
 
  private:
   /// Crashes of requests: first those that they may have caused, then those at which they were
   /// queued while another request was running, which they may have caused nevertheless.
-  using Places = std::pair<std::set<Worker>, std::set<Worker>>;
-  using Groups = std::map<Places, std::vector<Subject>>;
+  using CrashSets = std::pair<std::set<Worker>, std::set<Worker>>;
+  using Groups = std::map<CrashSets, std::vector<Subject>>;
 
   /// @return the groups of requests at the limit or above that are part of every smallest
   /// explanation.
-  static std::vector<const std::vector<Subject>*> needed(const Groups& groups) {
-    const CrashCover::Candidates masks = masksOf(groups);
+  static std::vector<const std::vector<Subject>*> neededGroups(const Groups& groups) {
+    const CrashCover::Candidates masks = crashMasks(groups);
     CrashCover cover(masks);
     std::vector<const std::vector<Subject>*> found;
     std::set<Worker> explained;
     std::size_t index = 0;
     for (const auto& [places, requests] : groups) {
       const auto& [workers, queuedAt] = places;
-      if (toldApart(workers.size(), requests.size()) && cover.needs(masks[index])) {
+      if (mayRefuseGroup(workers.size(), requests.size()) && cover.isNecessary(masks[index])) {
         found.push_back(&requests);
         explained.insert(workers.begin(), workers.end());
         explained.insert(queuedAt.begin(), queuedAt.end());
@@ -201,7 +201,7 @@
     }
     for (const auto& [places, requests] : groups) {
       const std::set<Worker>& workers = places.first;
-      if (workers.size() >= crash::kLastLimit &&
+      if (workers.size() >= crash::kUnexplainedCrashLimit &&
           !std::includes(explained.begin(), explained.end(), workers.begin(), workers.end())) {
         found.push_back(&requests);
       }
@@ -211,21 +211,21 @@
 
   /// @return true if a group of requests with the same crashes, found to be needed, may be refused:
   /// a single request at the limit, two of which either may be the cause one crash later, and
-  /// larger groups only at the last limit.
-  static bool toldApart(std::size_t crashes, std::size_t requests) {
+  /// larger groups only at `kUnexplainedCrashLimit`.
+  static bool mayRefuseGroup(std::size_t crashes, std::size_t requests) {
     if (requests > 2) {
-      return crashes >= crash::kLastLimit;
+      return crashes >= crash::kUnexplainedCrashLimit;
     }
     return crashes >= (requests == 1 ? crash::kLimit : crash::kLimit + 1);
   }
 
-  static CrashCover::Candidates masksOf(const Groups& groups) {
+  static CrashCover::Candidates crashMasks(const Groups& groups) {
     std::map<Worker, std::size_t> numbers;
     CrashCover::Candidates masks;
     const auto add = [&numbers](const std::set<Worker>& workers, CrashCover::Crashes& mask) {
       for (const Worker& worker : workers) {
         const std::size_t number = numbers.try_emplace(worker, numbers.size()).first->second;
-        mask.set(number % CrashCover::kMostCrashes);
+        mask.set(number % CrashCover::kMaxCrashes);
       }
     };
     for (const auto& [places, requests] : groups) {
@@ -236,15 +236,15 @@
     return masks;
   }
 
-  Evidence& note(const Subject& request) {
+  Evidence& touchEvidence(const Subject& request) {
     Evidence& evidence = evidence_[request];
-    evidence.lastCrash = ++count_;
+    evidence.lastCrash = ++crashSequence_;
     return evidence;
   }
 
   /// A request is now known to have been running on the worker: the others may only have been
   /// queued.
-  void demote(const Worker& worker) {
+  void moveToQueued(const Worker& worker) {
     for (auto& [request, evidence] : evidence_) {
       if (evidence.crashes.erase(worker) != 0) {
         evidence.queuedAt.insert(worker);
@@ -254,26 +254,27 @@
 
   /// Removes the request with the fewest crashes; among equals, the one whose latest crash is the
   /// oldest.
-  void dropLeast() {
+  void evictWeakest() {
     const auto weight = [](const Evidence& evidence) {
       return std::tuple(evidence.crashes.size(), evidence.queuedAt.size(), evidence.lastCrash);
     };
-    const auto least = std::min_element(evidence_.begin(), evidence_.end(),
-                                        [&weight](const auto& left, const auto& right) {
-                                          return weight(left.second) < weight(right.second);
-                                        });
-    evidence_.erase(least);
+    const auto weakest = std::min_element(evidence_.begin(), evidence_.end(),
+                                          [&weight](const auto& left, const auto& right) {
+                                            return weight(left.second) < weight(right.second);
+                                          });
+    evidence_.erase(weakest);
     forgetUnused();
   }
 
   void forgetUnused() {
-    std::erase_if(begunAt_, [this](const Worker& worker) { return !knows(worker); });
+    std::erase_if(workersWithRunningRequest_,
+                  [this](const Worker& worker) { return !knows(worker); });
   }
 
   std::map<Subject, Evidence> evidence_;
   /// Crashed workers on which at least one request was known to be running.
-  std::set<Worker> begunAt_;
-  std::uint64_t count_ = 0;
+  std::set<Worker> workersWithRunningRequest_;
+  std::uint64_t crashSequence_ = 0;
 };
 
 }  // namespace walnut::control
--- a/src/control/demand_table.cpp
+++ b/src/control/demand_table.cpp
@@ -8,13 +8,13 @@
 void DemandTable::put(base::RouterId router, RouterEntries& entries,
                       const protocol::Demand& demand) {
   const DemandTarget target{demand.model, demand.adapter, demand.version};
-  const protocol::Demand former = std::exchange(entries_[target][router], demand);
+  const protocol::Demand previous = std::exchange(entries_[target][router], demand);
   entries.targets.insert(target);
-  stale_.insert(target);
-  const bool material = former.waitingInteractive != demand.waitingInteractive ||
-                        former.waitingBatch != demand.waitingBatch ||
-                        (former.running == 0) != (demand.running == 0);
-  if (material) {
+  staleTargets_.insert(target);
+  const bool isSignificant = previous.waitingInteractive != demand.waitingInteractive ||
+                             previous.waitingBatch != demand.waitingBatch ||
+                             (previous.running == 0) != (demand.running == 0);
+  if (isSignificant) {
     changedModels_.insert(target.model);
   }
 }
@@ -28,18 +28,18 @@
   if (found->second.empty()) {
     entries_.erase(found);
   }
-  stale_.insert(target);
+  staleTargets_.insert(target);
   changedModels_.insert(target.model);
 }
 
-bool DemandTable::take(base::TimePoint now, const protocol::DemandReport& report) {
+bool DemandTable::applyReport(base::TimePoint now, const protocol::DemandReport& report) {
   RouterEntries& known = routers_[report.router];
   if (report.sequence <= known.sequence) {
     return false;
   }
   known.sequence = report.sequence;
-  known.heardAt = now;
-  const std::set<DemandTarget> former =
+  known.lastReportAt = now;
+  const std::set<DemandTarget> previous =
       report.complete ? std::exchange(known.targets, {}) : std::set<DemandTarget>{};
   for (const protocol::Demand& demand : report.entries) {
     const bool waits = demand.waitingInteractive + demand.waitingBatch > 0;
@@ -51,7 +51,7 @@
     known.targets.erase(ended);
     remove(report.router, ended);
   }
-  for (const DemandTarget& target : former) {
+  for (const DemandTarget& target : previous) {
     if (!known.targets.contains(target)) {
       remove(report.router, target);
     }
@@ -61,7 +61,7 @@
 
 void DemandTable::expire(base::TimePoint now) {
   for (auto router = routers_.begin(); router != routers_.end();) {
-    if (now < router->second.heardAt + lifetime_) {
+    if (now < router->second.lastReportAt + lifetime_) {
       ++router;
       continue;
     }
@@ -75,7 +75,7 @@
 base::TimePoint DemandTable::nextExpiry() const {
   base::TimePoint next = base::kNever;
   for (const auto& [router, entries] : routers_) {
-    next = std::min(next, entries.heardAt + lifetime_);
+    next = std::min(next, entries.lastReportAt + lifetime_);
   }
   return next;
 }
@@ -101,7 +101,7 @@
 }
 
 const std::map<DemandTarget, TotalDemand>& DemandTable::totals() {
-  for (const DemandTarget& target : std::exchange(stale_, {})) {
+  for (const DemandTarget& target : std::exchange(staleTargets_, {})) {
     refresh(target);
   }
   return totals_;
--- a/src/control/demand_table.h
+++ b/src/control/demand_table.h
@@ -17,7 +17,7 @@
 /// Target of requests: a model, or an adapter on a model.
 struct DemandTarget {
   std::string model;
-  std::string adapter;  ///< Empty: the model itself.
+  std::string adapter;  ///< Empty for the model itself.
   /// A previous version that open streams must continue with; empty: the active version.
   std::string version;
   auto operator<=>(const DemandTarget&) const = default;
@@ -44,7 +44,7 @@
 
   /// Applies a report unless a newer one from the router is known.
   /// @return true if it was applied.
-  bool take(base::TimePoint now, const protocol::DemandReport& report);
+  bool applyReport(base::TimePoint now, const protocol::DemandReport& report);
   /// @return the number of routers with an unexpired report.
   std::size_t routerCount() const { return routers_.size(); }
   /// Removes the entries of routers whose reports have expired.
@@ -55,7 +55,7 @@
   /// @return models for which, since the last call, the number of waiting requests changed, or a
   /// target started or stopped running requests.
   std::set<std::string> takeChangedModels() { return std::exchange(changedModels_, {}); }
-  bool changed() const { return !changedModels_.empty(); }
+  bool hasChangedModels() const { return !changedModels_.empty(); }
 
   /// @return the totals of all targets that any router reports.
   const std::map<DemandTarget, TotalDemand>& totals();
@@ -63,7 +63,7 @@
  private:
   struct RouterEntries {
     std::uint64_t sequence = 0;
-    base::TimePoint heardAt;
+    base::TimePoint lastReportAt;
     std::set<DemandTarget> targets;
   };
 
@@ -76,7 +76,7 @@
   std::map<DemandTarget, std::map<base::RouterId, protocol::Demand>> entries_;
   std::map<DemandTarget, TotalDemand> totals_;
   std::set<std::string> changedModels_;
-  std::set<DemandTarget> stale_;  ///< Targets whose totals must be recomputed.
+  std::set<DemandTarget> staleTargets_;  ///< Targets whose totals must be recomputed.
 };
 
 }  // namespace walnut::control
--- a/src/control/engine_monitor.cpp
+++ b/src/control/engine_monitor.cpp
@@ -7,16 +7,16 @@
 namespace {
 /// Factor by which the report interval grows for an engine that holds nothing: the only news it can
 /// report is that it is leaving.
-constexpr int kEmptyFactor = 2;
+constexpr int kEmptyEngineIntervalFactor = 2;
 /// Number of report intervals without a report after which an engine gets no new replicas.
 constexpr int kResponsiveIntervals = 6;
 }  // namespace
 
 void EngineMonitor::setDue(const base::EngineId& engine, Channel& channel, base::TimePoint at) {
-  due_.erase({channel.reportDueAt, engine});
+  dueReports_.erase({channel.reportDueAt, engine});
   channel.reportDueAt = at;
   if (!channel.call) {
-    due_.insert({at, engine});
+    dueReports_.insert({at, engine});
   }
 }
 
@@ -28,7 +28,7 @@
     return;
   }
   if (channel.call) {
-    calls_.erase(*channel.call);
+    callsInFlight_.erase(*channel.call);
     channel.call.reset();
     channel.order.reset();
   }
@@ -51,10 +51,10 @@
     return;
   }
   if (found->second.call) {
-    calls_.erase(*found->second.call);
+    callsInFlight_.erase(*found->second.call);
   }
-  due_.erase({found->second.reportDueAt, engine});
-  failing_.erase(engine);
+  dueReports_.erase({found->second.reportDueAt, engine});
+  failingEngines_.erase(engine);
   channels_.erase(found);
 }
 
@@ -73,26 +73,26 @@
 
 void EngineMonitor::tick(base::TimePoint now, bool mayCall) {
   mayCall_ = mayCall;
-  while (mayCall_ && !due_.empty() && due_.begin()->first <= now) {
-    const base::EngineId engine = due_.begin()->second;
+  while (mayCall_ && !dueReports_.empty() && dueReports_.begin()->first <= now) {
+    const base::EngineId engine = dueReports_.begin()->second;
     Channel& channel = channels_.at(engine);
-    due_.erase(due_.begin());
+    dueReports_.erase(dueReports_.begin());
     send(engine, channel, engine::ReportRequest{nextToken()});
   }
 }
 
 base::TimePoint EngineMonitor::nextWakeup() const {
-  return due_.empty() || !mayCall_ ? base::kNever : due_.begin()->first;
+  return dueReports_.empty() || !mayCall_ ? base::kNever : dueReports_.begin()->first;
 }
 
 void EngineMonitor::send(const base::EngineId& engine, Channel& channel, engine::Call request) {
   const std::uint64_t call = nextCall_++;
   channel.call = call;
-  calls_[call] = engine;
+  callsInFlight_[call] = engine;
   actions_.emplace_back(EngineCall{call, engine, channel.endpoint, std::move(request)});
 }
 
-bool EngineMonitor::mayOrder(const base::EngineId& engine) const {
+bool EngineMonitor::canSendOrder(const base::EngineId& engine) const {
   const auto found = channels_.find(engine);
   return mayCall_ && found != channels_.end() && found->second.report && !found->second.call &&
          !found->second.fencedOff;
@@ -102,7 +102,7 @@
                                               engine::Order order) {
   Channel& channel = channels_.at(engine);
   order.token = nextToken();
-  due_.erase({channel.reportDueAt, engine});
+  dueReports_.erase({channel.reportDueAt, engine});
   channel.reportDueAt = std::min(channel.reportDueAt, now + busyInterval());
   channel.order = order;
   send(engine, channel, order);
@@ -114,22 +114,22 @@
     return busyInterval();
   }
   const bool empty = channel.report && channel.report->held.empty();
-  return options_.reportInterval * (empty ? kEmptyFactor : 1);
+  return options_.reportInterval * (empty ? kEmptyEngineIntervalFactor : 1);
 }
 
 std::optional<base::EngineId> EngineMonitor::engineOf(const EngineCallFinished& call) const {
-  const auto known = calls_.find(call.call);
-  return known == calls_.end() ? std::nullopt : std::optional(known->second);
+  const auto known = callsInFlight_.find(call.call);
+  return known == callsInFlight_.end() ? std::nullopt : std::optional(known->second);
 }
 
 std::optional<FinishedCall> EngineMonitor::callFinished(base::TimePoint now,
                                                         const EngineCallFinished& call) {
-  const auto known = calls_.find(call.call);
-  if (known == calls_.end()) {
+  const auto known = callsInFlight_.find(call.call);
+  if (known == callsInFlight_.end()) {
     return std::nullopt;
   }
   const base::EngineId engine = known->second;
-  calls_.erase(known);
+  callsInFlight_.erase(known);
   Channel& channel = channels_.at(engine);
   FinishedCall finished{engine, std::move(channel.order), call.result};
   channel.call.reset();
@@ -163,19 +163,19 @@
 
 void EngineMonitor::setFailing(const base::EngineId& engine, bool failing) {
   if (failing) {
-    failing_.insert(engine);
+    failingEngines_.insert(engine);
   } else {
-    failing_.erase(engine);
+    failingEngines_.erase(engine);
   }
 }
 
-bool EngineMonitor::responsive(base::TimePoint now, const base::EngineId& engine) const {
+bool EngineMonitor::isResponsive(base::TimePoint now, const base::EngineId& engine) const {
   const auto at = reportedAt(engine);
   return at && now < *at + options_.reportInterval * kResponsiveIntervals;
 }
 
-std::optional<engine::CacheTier> EngineMonitor::cachedAt(const base::EngineId& engine,
-                                                         const std::string& checkpoint) const {
+std::optional<engine::CacheTier> EngineMonitor::nearestCacheTier(
+    const base::EngineId& engine, const std::string& checkpoint) const {
   std::optional<engine::CacheTier> nearest;
   const engine::Report* known = report(engine);
   if (known == nullptr) {
--- a/src/control/engine_monitor.h
+++ b/src/control/engine_monitor.h
@@ -56,8 +56,8 @@
   base::TimePoint nextWakeup() const;
 
   /// @return true if an order can be sent to the engine now.
-  bool mayOrder(const base::EngineId& engine) const;
-  /// Sends an order with a new fencing token. Requires mayOrder().
+  bool canSendOrder(const base::EngineId& engine) const;
+  /// Sends an order with a new fencing token. Requires canSendOrder().
   /// @return the token.
   engine::FencingToken sendOrder(base::TimePoint now, const base::EngineId& engine,
                                  engine::Order order);
@@ -70,20 +70,20 @@
   /// @return the engine's latest report in this term, or null.
   const engine::Report* report(const base::EngineId& engine) const;
   /// @return true if the engine has reported recently.
-  bool responsive(base::TimePoint now, const base::EngineId& engine) const;
+  bool isResponsive(base::TimePoint now, const base::EngineId& engine) const;
   /// Sets whether the routers have reported that the engine fails requests.
   void setFailing(const base::EngineId& engine, bool failing);
-  bool failing(const base::EngineId& engine) const { return failing_.contains(engine); }
+  bool isFailing(const base::EngineId& engine) const { return failingEngines_.contains(engine); }
   /// @return true if the engine's replicas count as serving and it may get new ones: it has
   /// reported recently and does not fail requests.
   bool serves(base::TimePoint now, const base::EngineId& engine) const {
-    return responsive(now, engine) && !failing(engine);
+    return isResponsive(now, engine) && !isFailing(engine);
   }
   /// @return the time of the engine's last report; empty if there was none in this term.
   std::optional<base::TimePoint> reportedAt(const base::EngineId& engine) const;
   /// @return the nearest cache tier that holds the checkpoint on the engine, by its latest report.
-  std::optional<engine::CacheTier> cachedAt(const base::EngineId& engine,
-                                            const std::string& checkpoint) const;
+  std::optional<engine::CacheTier> nearestCacheTier(const base::EngineId& engine,
+                                                    const std::string& checkpoint) const;
 
  private:
   struct Channel {
@@ -112,10 +112,10 @@
   std::uint64_t sequence_ = 0;
   bool mayCall_ = false;
   std::map<base::EngineId, Channel> channels_;
-  std::map<std::uint64_t, base::EngineId> calls_;  ///< Calls in flight.
-  std::set<base::EngineId> failing_;
+  std::map<std::uint64_t, base::EngineId> callsInFlight_;  ///< Calls in flight.
+  std::set<base::EngineId> failingEngines_;
   /// Scheduled report requests of engines without a call in flight.
-  std::set<std::pair<base::TimePoint, base::EngineId>> due_;
+  std::set<std::pair<base::TimePoint, base::EngineId>> dueReports_;
 };
 
 }  // namespace walnut::control
--- a/src/control/engine_registration.cpp
+++ b/src/control/engine_registration.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-resource::EngineStatus wantedStatus(const EngineSources& sources) {
+resource::EngineStatus expectedStatus(const EngineSources& sources) {
   const bool listed = sources.machine != nullptr;
   const bool listSaysLeaving =
       listed && (sources.machine->leaving || sources.machine->reclaimAt.has_value());
@@ -20,27 +20,27 @@
 
 }  // namespace
 
-std::optional<resource::Engine> wantedRecord(const EngineSources& sources) {
+std::optional<resource::Engine> expectedRecord(const EngineSources& sources) {
   if (sources.record == nullptr && sources.machine == nullptr) {
     return std::nullopt;
   }
-  resource::Engine wanted = sources.record != nullptr ? *sources.record : resource::Engine{};
+  resource::Engine expected = sources.record != nullptr ? *sources.record : resource::Engine{};
   if (sources.machine != nullptr) {
-    wanted.id = sources.machine->engine;
-    wanted.endpoint = sources.machine->endpoint;
-    wanted.zone = sources.machine->zone;
-    wanted.machineClass = sources.machine->machineClass;
-    wanted.reclaimAt = sources.machine->reclaimAt;
+    expected.id = sources.machine->engine;
+    expected.endpoint = sources.machine->endpoint;
+    expected.zone = sources.machine->zone;
+    expected.machineClass = sources.machine->machineClass;
+    expected.reclaimAt = sources.machine->reclaimAt;
   }
   if (sources.report != nullptr) {
-    wanted.incarnation = sources.report->incarnation;
-    wanted.acceleratorBytes = sources.report->acceleratorBytes;
+    expected.incarnation = sources.report->incarnation;
+    expected.acceleratorBytes = sources.report->acceleratorBytes;
   }
-  wanted.status = wantedStatus(sources);
-  if (sources.record != nullptr && wanted == *sources.record) {
+  expected.status = expectedStatus(sources);
+  if (sources.record != nullptr && expected == *sources.record) {
     return std::nullopt;
   }
-  return wanted;
+  return expected;
 }
 
 }  // namespace walnut::control
--- a/src/control/engine_registration.h
+++ b/src/control/engine_registration.h
@@ -22,6 +22,6 @@
 /// Computes the record of an engine. An engine is leaving as soon as either source says so; it is
 /// live again only once both sources are known and neither does.
 /// @return the record to register; empty if the state has it already.
-std::optional<resource::Engine> wantedRecord(const EngineSources& sources);
+std::optional<resource::Engine> expectedRecord(const EngineSources& sources);
 
 }  // namespace walnut::control
--- a/src/control/idle_gap_histogram.cpp
+++ b/src/control/idle_gap_histogram.cpp
@@ -11,14 +11,15 @@
 }  // namespace
 
 IdleGapHistogram::IdleGapHistogram(double limit)
-    : limit_(limit), histogram_(std::make_tuple(LogAxis(kBars, kShortest, kLongest))) {}
+    : limit_(limit),
+      histogram_(std::make_tuple(LogAxis(kBars, kShortestSeconds, kLongestSeconds))) {}
 
 void IdleGapHistogram::record(base::Duration gap) {
   const double seconds = std::chrono::duration<double>(gap).count();
-  if (seconds < kShortest) {
+  if (seconds < kShortestSeconds) {
     return;
   }
-  histogram_(std::min(seconds, kLongest * kJustBelow));
+  histogram_(std::min(seconds, kLongestSeconds * kJustBelow));
   total_ += 1;
   if (total_ > limit_) {
     histogram_ *= 0.5;
--- a/src/control/idle_gap_histogram.h
+++ b/src/control/idle_gap_histogram.h
@@ -32,13 +32,13 @@
   static constexpr unsigned kBars = 64;
   /// Shorter gaps do not count as idle time: running requests are reported to the leader at least
   /// every 5 s.
-  static constexpr double kShortest = 5.0;
-  static constexpr double kLongest = 2.0 * 24 * 3600;
+  static constexpr double kShortestSeconds = 5.0;
+  static constexpr double kLongestSeconds = 2.0 * 24 * 3600;
   /// Default weight limit for one model: some weeks of a model that is loaded on demand a few times
   /// a day.
-  static constexpr double kOwnLimit = 128;
+  static constexpr double kModelWeightLimit = 128;
 
-  explicit IdleGapHistogram(double limit = kOwnLimit);
+  explicit IdleGapHistogram(double limit = kModelWeightLimit);
 
   /// Gaps below the shortest are ignored; those above the longest count as the longest.
   void record(base::Duration gap);
--- a/src/control/keep_alive_policy.cpp
+++ b/src/control/keep_alive_policy.cpp
@@ -13,7 +13,7 @@
 constexpr double kPriorGaps = 2;
 /// Loading ahead must save at least this many times its cost, because it uses bandwidth of the
 /// store and the distribution is only an estimate.
-constexpr double kWakeMargin = 1.25;
+constexpr double kPreloadMargin = 1.25;
 
 base::Duration toDuration(double seconds) {
   return base::Duration(static_cast<std::int64_t>(seconds * 1e6));
@@ -22,15 +22,15 @@
 /// Combines the model's own gaps with the prior. The weights add up to 1; empty if no gaps of any
 /// model were seen.
 std::vector<GapBar> distributionOf(const KeepAliveSubject& subject) {
-  std::vector<GapBar> bars = subject.all.bars();
-  const double prior = subject.all.total();
-  const double own = subject.own == nullptr ? 0 : subject.own->total();
+  std::vector<GapBar> bars = subject.allGaps.bars();
+  const double prior = subject.allGaps.total();
+  const double own = subject.ownGaps == nullptr ? 0 : subject.ownGaps->total();
   const double weight = own + (prior > 0 ? kPriorGaps : 0);
   if (weight <= 0) {
     return {};
   }
   const std::vector<GapBar> ownBars =
-      subject.own == nullptr ? std::vector<GapBar>{} : subject.own->bars();
+      subject.ownGaps == nullptr ? std::vector<GapBar>{} : subject.ownGaps->bars();
   for (std::size_t index = 0; index < bars.size(); ++index) {
     const double ofAll = prior > 0 ? bars[index].weight / prior * kPriorGaps : 0;
     const double ofOwn = ownBars.empty() ? 0 : ownBars[index].weight;
@@ -46,7 +46,7 @@
   CostTable(const std::vector<GapBar>& bars, double share, double coldCost)
       : bars_(bars), share_(share), coldCost_(coldCost) {}
 
-  struct Wake {
+  struct Preload {
     double saved = 0;
     std::size_t from = 0;  ///< Index of the first bar.
     /// Index after the last bar; equal to `from` if there is no preload period.
@@ -54,22 +54,22 @@
   };
 
   HoldPlan cheapest() const {
-    const std::vector<Wake> wakes = bestWakes();
+    const std::vector<Preload> preloads = bestPreloads();
     double bestCost = std::numeric_limits<double>::infinity();
     HoldPlan best;
-    double idleOfEnded = 0;  // Idle cost of gaps that end within the hold time.
-    double remaining = 1;    // Probability of longer gaps.
+    double endedIdleCost = 0;  // Idle cost of gaps that end within the hold time.
+    double remaining = 1;      // Probability of longer gaps.
     for (std::size_t index = 0; index <= bars_.size(); ++index) {
       const double hold = index == 0 ? 0 : bars_[index - 1].to;
-      const Wake& wake = wakes[index];
+      const Preload& preload = preloads[index];
       const double cost =
-          idleOfEnded + remaining * (share_ * hold + coldCost_) - wake.saved / kWakeMargin;
+          endedIdleCost + remaining * (share_ * hold + coldCost_) - preload.saved / kPreloadMargin;
       if (cost < bestCost) {
         bestCost = cost;
-        best = planOf(hold, wake);
+        best = planOf(hold, preload);
       }
       if (index < bars_.size()) {
-        idleOfEnded += share_ * bars_[index].weight * bars_[index].middle();
+        endedIdleCost += share_ * bars_[index].weight * bars_[index].middle();
         remaining = std::max(0.0, remaining - bars_[index].weight);
       }
     }
@@ -77,44 +77,44 @@
   }
 
  private:
-  HoldPlan planOf(double hold, const Wake& wake) const {
+  HoldPlan planOf(double hold, const Preload& preload) const {
     HoldPlan plan;
     plan.hold = toDuration(hold);
-    if (wake.to > wake.from) {
-      plan.wakeAt = toDuration(bars_[wake.from].from);
-      plan.wakeUntil = toDuration(bars_[wake.to - 1].to);
+    if (preload.to > preload.from) {
+      plan.preloadFrom = toDuration(bars_[preload.from].from);
+      plan.preloadUntil = toDuration(bars_[preload.to - 1].to);
     }
     return plan;
   }
 
   /// @return for each end of a bar, the best preload period that begins at least one bar later.
-  std::vector<Wake> bestWakes() const {
-    std::vector<Wake> best(bars_.size() + 1);
+  std::vector<Preload> bestPreloads() const {
+    std::vector<Preload> best(bars_.size() + 1);
     // Probability of a gap in this bar or a later one.
-    std::vector<double> later(bars_.size() + 1, 0);
+    std::vector<double> tailProbability(bars_.size() + 1, 0);
     for (std::size_t index = bars_.size(); index-- > 0;) {
-      later[index] = later[index + 1] + bars_[index].weight;
+      tailProbability[index] = tailProbability[index + 1] + bars_[index].weight;
     }
     for (std::size_t from = bars_.size(); from-- > 1;) {
       best[from - 1] = best[from];
-      const Wake wake = bestWakeFrom(from, later);
-      if (wake.saved > best[from - 1].saved) {
-        best[from - 1] = wake;
+      const Preload preload = bestPreloadFrom(from, tailProbability);
+      if (preload.saved > best[from - 1].saved) {
+        best[from - 1] = preload;
       }
     }
     return best;
   }
 
-  Wake bestWakeFrom(std::size_t from, const std::vector<double>& later) const {
-    Wake best{0, from, from};
+  Preload bestPreloadFrom(std::size_t from, const std::vector<double>& tailProbability) const {
+    Preload best{0, from, from};
     const double begin = bars_[from].from;
     double saved = 0;
     for (std::size_t to = from; to < bars_.size(); ++to) {
       const GapBar& bar = bars_[to];
       saved += bar.weight * (coldCost_ - share_ * (bar.middle() - begin));
-      const double heldInVain = later[to + 1] * share_ * (bar.to - begin);
-      if (saved - heldInVain > best.saved) {
-        best = {saved - heldInVain, from, to + 1};
+      const double wastedHoldCost = tailProbability[to + 1] * share_ * (bar.to - begin);
+      if (saved - wastedHoldCost > best.saved) {
+        best = {saved - wastedHoldCost, from, to + 1};
       }
     }
     return best;
@@ -129,9 +129,9 @@
 
 double LearnedKeepAlive::costOf(base::Duration coldStart) const {
   const double seconds = std::chrono::duration<double>(coldStart).count();
-  const double target = trade_.coldStartTargetSeconds;
+  const double target = costModel_.coldStartTargetSeconds;
   const double emphasis = target > 0 ? std::max(1.0, seconds / target) : 1.0;
-  return trade_.idleSecondsPerColdSecond * seconds * emphasis;
+  return costModel_.idleSecondsPerColdSecond * seconds * emphasis;
 }
 
 HoldPlan LearnedKeepAlive::plan(const KeepAliveSubject& subject) const {
@@ -143,29 +143,30 @@
     return {toDuration(coldCost / std::max(subject.acceleratorShare, 1e-3)), {}, {}};
   }
   HoldPlan plan = CostTable(bars, subject.acceleratorShare, coldCost).cheapest();
-  if (plan.wakeUntil > plan.wakeAt) {
+  if (plan.preloadUntil > plan.preloadFrom) {
     // The load starts early enough to be ready when the next use is expected.
-    plan.wakeAt = std::max(*plan.hold, plan.wakeAt - subject.coldStart);
+    plan.preloadFrom = std::max(*plan.hold, plan.preloadFrom - subject.coldStart);
   }
   return plan;
 }
 
 std::optional<base::Duration> idleHold(const resource::CapacityBudgetSpec& budget) {
-  constexpr std::uint32_t kOnlyColdStarts = 100;
-  if (budget.coldStartWeight >= kOnlyColdStarts) {
+  constexpr std::uint32_t kMaxColdStartWeight = 100;
+  if (budget.coldStartWeight >= kMaxColdStartWeight) {
     return std::nullopt;
   }
   const std::int64_t micros =
       base::Duration(std::chrono::seconds(budget.idleUnloadSeconds)).count();
-  return base::Duration(micros * kOnlyColdStarts / (kOnlyColdStarts - budget.coldStartWeight));
+  return base::Duration(micros * kMaxColdStartWeight /
+                        (kMaxColdStartWeight - budget.coldStartWeight));
 }
 
 std::unique_ptr<KeepAlivePolicy> makeKeepAlivePolicy(const resource::CapacityBudgetSpec& budget) {
   switch (budget.keepAlive) {
     case resource::KeepAlive::learned:
       return std::make_unique<LearnedKeepAlive>(
-          LearnedKeepAlive::Trade{static_cast<double>(budget.idleSecondsPerColdSecond),
-                                  static_cast<double>(budget.coldStartTargetSeconds)});
+          LearnedKeepAlive::CostModel{static_cast<double>(budget.idleSecondsPerColdSecond),
+                                      static_cast<double>(budget.coldStartTargetSeconds)});
     case resource::KeepAlive::resident:
       return std::make_unique<AlwaysResident>();
     case resource::KeepAlive::idleTimeout:
--- a/src/control/keep_alive_policy.h
+++ b/src/control/keep_alive_policy.h
@@ -18,21 +18,21 @@
   /// How long the replica is held; empty: until its memory is needed.
   std::optional<base::Duration> hold;
   /// Period in which the model is loaded ahead and held; empty if both times are equal.
-  base::Duration wakeAt{};
-  base::Duration wakeUntil{};
+  base::Duration preloadFrom{};
+  base::Duration preloadUntil{};
 
   /// @return true if a replica that has been idle for `idle` is held.
-  bool holdsAt(base::Duration idle) const { return !hold || idle < *hold || wakesAt(idle); }
+  bool holdsAt(base::Duration idle) const { return !hold || idle < *hold || preloadsAt(idle); }
   /// @return true if a model that has been idle for `idle` is to be loaded ahead.
-  bool wakesAt(base::Duration idle) const { return wakeAt <= idle && idle < wakeUntil; }
+  bool preloadsAt(base::Duration idle) const { return preloadFrom <= idle && idle < preloadUntil; }
 };
 
 /// Input of a plan: the usage and cost of one model or adapter.
 struct KeepAliveSubject {
   /// Idle gaps of the model or adapter itself; null if none were seen.
-  const IdleGapHistogram* own = nullptr;
-  const IdleGapHistogram& all;  ///< Idle gaps of all models and adapters together.
-  double acceleratorShare = 0;  ///< Fraction of one accelerator's memory that it uses; 0 .. 1.
+  const IdleGapHistogram* ownGaps = nullptr;
+  const IdleGapHistogram& allGaps;  ///< Idle gaps of all models and adapters together.
+  double acceleratorShare = 0;      ///< Fraction of one accelerator's memory that it uses; 0 .. 1.
   /// Expected duration of a cold start from the current location of the weights.
   base::Duration coldStart{};
 };
@@ -67,19 +67,19 @@
 /// with the weight of a few gaps, so that a new model, or a new leader, starts from the usual gaps.
 class LearnedKeepAlive : public KeepAlivePolicy {
  public:
-  struct Trade {
+  struct CostModel {
     double idleSecondsPerColdSecond = 0;
     /// Seconds above the target count more; 0: all seconds of a cold start count the same.
     double coldStartTargetSeconds = 0;
   };
-  explicit LearnedKeepAlive(const Trade& trade) : trade_(trade) {}
+  explicit LearnedKeepAlive(const CostModel& costModel) : costModel_(costModel) {}
   HoldPlan plan(const KeepAliveSubject& subject) const override;
 
  private:
   /// @return the price of one cold start in idle accelerator seconds.
   double costOf(base::Duration coldStart) const;
 
-  Trade trade_;
+  CostModel costModel_;
 };
 
 /// @return the policy that the budget specifies.
--- a/src/control/keep_alive_table.cpp
+++ b/src/control/keep_alive_table.cpp
@@ -9,19 +9,19 @@
 /// A plan is recomputed after this time even within an idle period.
 constexpr base::Duration kPlanLifetime = std::chrono::minutes(5);
 /// Shortest time between two plans of a target that is used repeatedly.
-constexpr base::Duration kPlanRest = std::chrono::seconds(20);
+constexpr base::Duration kMinReplanInterval = std::chrono::seconds(20);
 
-HeldWeights weightsOf(const CellState& state, const DemandTarget& target,
+WeightsInfo weightsOf(const CellState& state, const DemandTarget& target,
                       const resource::ModelSpec& model) {
   if (!target.adapter.empty()) {
     const auto* adapter = state.findAdapter(target.adapter);
-    return adapter == nullptr ? HeldWeights{}
-                              : HeldWeights{adapter->checkpoint, adapter->checkpointBytes,
+    return adapter == nullptr ? WeightsInfo{}
+                              : WeightsInfo{adapter->checkpoint, adapter->checkpointBytes,
                                             adapter->acceleratorBytes};
   }
   const auto* version = state.findModelVersion(model.activeVersion);
-  return version == nullptr ? HeldWeights{}
-                            : HeldWeights{version->checkpoint, version->checkpointBytes,
+  return version == nullptr ? WeightsInfo{}
+                            : WeightsInfo{version->checkpoint, version->checkpointBytes,
                                           version->acceleratorBytes};
 }
 
@@ -54,20 +54,21 @@
                                        const resource::ModelSpec& model) {
   const base::TimePoint lastUse = usage.lastUse(target);
   const resource::Version version = budgetVersion(input.state, model);
-  const auto [found, missing] = entries_.try_emplace(target);
+  const auto [found, added] = entries_.try_emplace(target);
   Entry& entry = found->second;
-  const bool sameUse = entry.lastUse == lastUse && input.now < entry.madeAt + kPlanLifetime;
-  const bool rests = input.now < entry.madeAt + kPlanRest;
-  if (missing || entry.budgetVersion != version || (!sameUse && !rests)) {
-    entry = {make(input, usage, target, model), lastUse, input.now, version};
+  const bool isCurrent = entry.lastUse == lastUse && input.now < entry.computedAt + kPlanLifetime;
+  const bool isTooRecent = input.now < entry.computedAt + kMinReplanInterval;
+  if (added || entry.budgetVersion != version || (!isCurrent && !isTooRecent)) {
+    entry = {computePlan(input, usage, target, model), lastUse, input.now, version};
   }
   return entry.plan;
 }
 
-HoldPlan KeepAliveTable::make(const PlacementInput& input, const UsageTracker& usage,
-                              const DemandTarget& target, const resource::ModelSpec& model) const {
+HoldPlan KeepAliveTable::computePlan(const PlacementInput& input, const UsageTracker& usage,
+                                     const DemandTarget& target,
+                                     const resource::ModelSpec& model) const {
   const resource::CapacityBudgetSpec budget = input.state.budgetOf(model);
-  const HeldWeights weights = weightsOf(input.state, target, model);
+  const WeightsInfo weights = weightsOf(input.state, target, model);
   const resource::EnginePoolSpec pool = input.state.poolOf(model);
   KeepAliveSubject subject{usage.gapsOf(target), usage.allGaps(), 0, {}};
   subject.acceleratorShare = shareOf(input.state, weights.acceleratorBytes, pool);
@@ -76,12 +77,12 @@
 }
 
 /// Estimates the cold start from the nearest cache tier on any engine of the pool.
-base::Duration KeepAliveTable::coldStartOf(const PlacementInput& input, const HeldWeights& weights,
+base::Duration KeepAliveTable::coldStartOf(const PlacementInput& input, const WeightsInfo& weights,
                                            const resource::ModelSpec& model) const {
   const resource::EnginePoolSpec pool = input.state.poolOf(model);
   LoadSource nearest = LoadSource::store;
   for (const auto& [id, engine] : input.state.engines()) {
-    const auto tier = input.monitor.cachedAt(id, weights.checkpoint);
+    const auto tier = input.monitor.nearestCacheTier(id, weights.checkpoint);
     if (!tier || !inPool(engine, pool) || !input.takesWork(engine)) {
       continue;
     }
--- a/src/control/keep_alive_table.h
+++ b/src/control/keep_alive_table.h
@@ -13,7 +13,7 @@
 namespace walnut::control {
 
 /// Size and checkpoint of the weights of a model or adapter.
-struct HeldWeights {
+struct WeightsInfo {
   std::string checkpoint;
   std::uint64_t checkpointBytes = 0;
   std::uint64_t acceleratorBytes = 0;
@@ -29,21 +29,21 @@
   const HoldPlan& planOf(const PlacementInput& input, const UsageTracker& usage,
                          const DemandTarget& target, const resource::ModelSpec& model);
   /// Records the duration of a finished load.
-  void observeLoad(LoadSource source, std::uint64_t bytes, base::Duration took) {
-    loadTimes_.observe(source, bytes, took);
+  void observeLoad(LoadSource source, std::uint64_t bytes, base::Duration duration) {
+    loadTimes_.observe(source, bytes, duration);
   }
 
  private:
   struct Entry {
     HoldPlan plan;
     base::TimePoint lastUse;
-    base::TimePoint madeAt;
+    base::TimePoint computedAt;
     resource::Version budgetVersion = 0;
   };
 
-  HoldPlan make(const PlacementInput& input, const UsageTracker& usage, const DemandTarget& target,
-                const resource::ModelSpec& model) const;
-  base::Duration coldStartOf(const PlacementInput& input, const HeldWeights& weights,
+  HoldPlan computePlan(const PlacementInput& input, const UsageTracker& usage,
+                       const DemandTarget& target, const resource::ModelSpec& model) const;
+  base::Duration coldStartOf(const PlacementInput& input, const WeightsInfo& weights,
                              const resource::ModelSpec& model) const;
 
   std::map<DemandTarget, Entry> entries_;
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -43,7 +43,7 @@
 Leadership::Leadership(const LeaderContext& context, consensus::Term term, base::TimePoint now)
     : context_(context),
       term_(term),
-      since_(now),
+      startedAt_(now),
       monitor_(context.options, term, context.nextCall, context.actions),
       reconciler_(context.options, context.state, context.ledger, monitor_),
       platform_(context.options, context.actions),
@@ -69,7 +69,7 @@
   if (proposal.replica) {
     changingReplicas_.insert(*proposal.replica);
   }
-  placementsUnderWay_ += proposal.placement ? 1 : 0;
+  placementsInFlight_ += proposal.placement ? 1 : 0;
   proposals_[index.value()] = std::move(proposal);
 }
 
@@ -90,13 +90,13 @@
     refusedRecords_[proposal.record->id] = *proposal.record;
   }
   if (proposal.placement) {
-    --placementsUnderWay_;
-    placementStale_ = true;
+    --placementsInFlight_;
+    placementIsStale_ = true;
   }
 }
 
 void Leadership::stateChanged(base::TimePoint now, const StateChange& change) {
-  placementStale_ = true;
+  placementIsStale_ = true;
   std::set<base::EngineId> engines = change.engines;
   for (const std::string& model : change.models) {
     planning_.mark(model);
@@ -120,7 +120,7 @@
       continue;
     }
     reconciler_.ledgerChanged(now, engine);
-    stale_.insert(engine);
+    enginesToReview_.insert(engine);
   }
 }
 
@@ -176,7 +176,7 @@
       registerEngine(now, id);
     }
   }
-  removeGone(now);
+  removeGoneMachines(now);
 }
 
 void Leadership::trackEngines(base::TimePoint now) {
@@ -205,18 +205,19 @@
   sources.machine = platform_.find(engine);
   sources.report = monitor_.report(engine);
   sources.hasList = platform_.hasList();
-  auto wanted = wantedRecord(sources);
+  auto expected = expectedRecord(sources);
   const auto refused = refusedRecords_.find(engine);
-  const bool asRefused = wanted && refused != refusedRecords_.end() && refused->second == *wanted;
-  if (wanted && !asRefused) {
-    propose(now, RegisterEngine{*std::move(wanted)}, false);
+  const bool wasRefused =
+      expected && refused != refusedRecords_.end() && refused->second == *expected;
+  if (expected && !wasRefused) {
+    propose(now, RegisterEngine{*std::move(expected)}, false);
   }
 }
 
 /// Removes engines whose machine is gone. A machine that still answers is kept, whatever the
 /// platform list says.
-void Leadership::removeGone(base::TimePoint now) {
-  for (const base::EngineId& engine : platform_.gone()) {
+void Leadership::removeGoneMachines(base::TimePoint now) {
+  for (const base::EngineId& engine : platform_.goneMachines()) {
     const auto reportedAt = monitor_.reportedAt(engine);
     const bool answered = reportedAt && now < *reportedAt + context_.options.machineGoneAfter;
     const bool known = context_.state.engines().contains(engine);
@@ -228,26 +229,26 @@
 
 void Leadership::engineCallFinished(base::TimePoint now, const EngineCallFinished& call) {
   const auto known = monitor_.engineOf(call);
-  const bool wasResponsive = known && monitor_.responsive(now, *known);
+  const bool wasResponsive = known && monitor_.isResponsive(now, *known);
   const auto finished = monitor_.callFinished(now, call);
   if (!finished) {
     return;
   }
-  stale_.insert(finished->engine);
+  enginesToReview_.insert(finished->engine);
   reconciler_.orderFinished(*finished);
   if (finished->result.has_error()) {
     return;
   }
   if (const auto* report = std::get_if<engine::Report>(&finished->result.value())) {
-    placementStale_ = placementStale_ || !wasResponsive;
-    takeReport(now, *report);
+    placementIsStale_ = placementIsStale_ || !wasResponsive;
+    recordReportedUse(now, *report);
   }
 }
 
-void Leadership::takeReport(base::TimePoint now, const engine::Report& report) {
+void Leadership::recordReportedUse(base::TimePoint now, const engine::Report& report) {
   for (const engine::HeldServable& held : report.held) {
     if (held.activeRequests > 0) {
-      usage_.used(now, targetOf(held.servable));
+      usage_.recordUse(now, targetOf(held.servable));
     }
   }
 }
@@ -299,8 +300,8 @@
   platform_.tick(now);
   detectOutliers(now);
   monitor_.tick(now, context_.raft.leaseValid(now));
-  stale_.merge(reconciler_.takeDue(now));
-  for (const base::EngineId& engine : std::exchange(stale_, {})) {
+  enginesToReview_.merge(reconciler_.takeDue(now));
+  for (const base::EngineId& engine : std::exchange(enginesToReview_, {})) {
     reviewEngine(now, engine);
   }
   promotion_.tick(now, context_.raft);
@@ -310,13 +311,13 @@
 }
 
 void Leadership::decidePlacement(base::TimePoint now) {
-  placementStale_ = false;
-  placedAt_ = now;
+  placementIsStale_ = false;
+  lastPlacementAt_ = now;
   context_.demand.expire(now);
   std::set<std::string> models = planning_.takeMarked();
   models.merge(context_.demand.takeChangedModels());
-  if (now >= nextStepAt_) {
-    nextStepAt_ = now + context_.options.planningPass / PlanningQueue::kStepsOfPass;
+  if (now >= nextPlanningStepAt_) {
+    nextPlanningStepAt_ = now + context_.options.planningPass / PlanningQueue::kStepsPerPass;
     for (std::string& model : planning_.nextStep(context_.state, context_.ledger)) {
       models.insert(std::move(model));
     }
@@ -329,7 +330,7 @@
                              usage_,
                              reconciler_.unledgered(),
                              changingReplicas_,
-                             now >= since_ + kSettleTime};
+                             now >= startedAt_ + kSettleTime};
   for (CommandBody& body : policy_.decide(input, std::move(models), usage_)) {
     propose(now, std::move(body), true);
   }
@@ -338,16 +339,17 @@
 /// Returns the time of the next placement run. While decisions are in progress, the state that the
 /// next ones depend on is not known yet.
 base::TimePoint Leadership::placementDueAt() const {
-  if (placementsUnderWay_ > 0) {
+  if (placementsInFlight_ > 0) {
     return base::kNever;
   }
-  const base::TimePoint earliest = placedAt_ + context_.options.placementInterval;
-  const bool stale = placementStale_ || planning_.anyMarked() || context_.demand.changed();
-  return stale ? earliest : std::max(earliest, std::min(nextStepAt_, policy_.nextWakeup()));
+  const base::TimePoint earliest = lastPlacementAt_ + context_.options.placementInterval;
+  const bool stale =
+      placementIsStale_ || planning_.anyMarked() || context_.demand.hasChangedModels();
+  return stale ? earliest : std::max(earliest, std::min(nextPlanningStepAt_, policy_.nextWakeup()));
 }
 
 base::TimePoint Leadership::nextWakeup() const {
-  if (!stale_.empty()) {
+  if (!enginesToReview_.empty()) {
     return base::TimePoint::min();
   }
   return std::min({platform_.nextWakeup(), monitor_.nextWakeup(), reconciler_.nextWakeup(),
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -78,9 +78,9 @@
   void trackEngines(base::TimePoint now);
   void reviewEngine(base::TimePoint now, const base::EngineId& engine);
   void registerEngine(base::TimePoint now, const base::EngineId& engine);
-  void removeGone(base::TimePoint now);
+  void removeGoneMachines(base::TimePoint now);
   void detectOutliers(base::TimePoint now);
-  void takeReport(base::TimePoint now, const engine::Report& report);
+  void recordReportedUse(base::TimePoint now, const engine::Report& report);
   void markChanged(const std::vector<protocol::Change>& changes);
   void markResource(const resource::Key& key, const resource::Spec* spec);
   void markModelsOn(const base::EngineId& engine);
@@ -89,7 +89,7 @@
 
   LeaderContext context_;
   consensus::Term term_;
-  base::TimePoint since_;
+  base::TimePoint startedAt_;
   EngineMonitor monitor_;
   ReplicaReconciler reconciler_;
   PlatformWatcher platform_;
@@ -99,16 +99,17 @@
   OutlierDetector<base::EngineId, base::RouterId> outliers_;
 
   std::map<consensus::LogIndex, Proposal> proposals_;  ///< Proposals in progress.
-  std::set<base::EngineId> changingEngines_;           ///< Named by one of proposals_.
-  ReplicaIds changingReplicas_;                        ///< Named by one of proposals_.
+  std::set<base::EngineId> changingEngines_;           ///< Engines that proposals_ concern.
+  ReplicaIds changingReplicas_;                        ///< Replicas that proposals_ concern.
   /// Records that the state machine refused; they are not proposed again until they change.
   std::map<base::EngineId, resource::Engine> refusedRecords_;
-  std::size_t placementsUnderWay_ = 0;
-  std::set<base::EngineId> stale_;  ///< Engines to review.
+  std::size_t placementsInFlight_ = 0;
+  std::set<base::EngineId> enginesToReview_;  ///< Engines to review.
   PlanningQueue planning_;
-  bool placementStale_ = true;  ///< True after a change that cannot be attributed to single models.
-  base::TimePoint placedAt_;    ///< Time of the last run of the policy.
-  base::TimePoint nextStepAt_;  ///< Time of the next step of the pass over all models.
+  bool placementIsStale_ =
+      true;  ///< True after a change that cannot be attributed to single models.
+  base::TimePoint lastPlacementAt_;     ///< Time of the last run of the policy.
+  base::TimePoint nextPlanningStepAt_;  ///< Time of the next step of the pass over all models.
 };
 
 }  // namespace walnut::control
--- a/src/control/ledger_index.cpp
+++ b/src/control/ledger_index.cpp
@@ -36,26 +36,26 @@
   }
 }
 
-LedgerIndex::Touched LedgerIndex::update(const std::vector<protocol::Change>& changes) {
-  Touched touched;
+LedgerIndex::ChangedObjects LedgerIndex::update(const std::vector<protocol::Change>& changes) {
+  ChangedObjects objects;
   for (const protocol::Change& change : changes) {
     if (const auto* changed = std::get_if<protocol::ReplicaChanged>(&change)) {
-      touched.engines.insert(changed->replica.engine);
-      touched.models.insert(changed->replica.servable.model);
+      objects.engines.insert(changed->replica.engine);
+      objects.models.insert(changed->replica.servable.model);
       put(changed->replica);
     } else if (const auto* removed = std::get_if<protocol::ReplicaRemoved>(&change)) {
       if (const resource::Replica* replica = find(removed->replica)) {
-        touched.engines.insert(replica->engine);
-        touched.models.insert(replica->servable.model);
+        objects.engines.insert(replica->engine);
+        objects.models.insert(replica->servable.model);
       }
       remove(removed->replica);
     } else if (const auto* engine = std::get_if<protocol::EngineChanged>(&change)) {
-      touched.engines.insert(engine->engine.id);
+      objects.engines.insert(engine->engine.id);
     } else if (const auto* gone = std::get_if<protocol::EngineRemoved>(&change)) {
-      touched.engines.insert(gone->engine);
+      objects.engines.insert(gone->engine);
     }
   }
-  return touched;
+  return objects;
 }
 
 void LedgerIndex::put(const resource::Replica& replica) {
@@ -91,16 +91,16 @@
   return idsAt(byEngine_, engine);
 }
 
-const ReplicaIds& LedgerIndex::at(const AcceleratorPlace& place) const {
+const ReplicaIds& LedgerIndex::onAccelerator(const AcceleratorPlace& place) const {
   return idsAt(byPlace_, place);
 }
 
-const ReplicaIds& LedgerIndex::of(const resource::Servable& servable) const {
+const ReplicaIds& LedgerIndex::ofServable(const resource::Servable& servable) const {
   return idsAt(byServable_, servable);
 }
 
 bool LedgerIndex::holds(const AcceleratorPlace& place, const resource::Servable& servable) const {
-  for (const base::ReplicaId id : at(place)) {
+  for (const base::ReplicaId id : onAccelerator(place)) {
     if (replicas_.at(id).servable == servable) {
       return true;
     }
@@ -110,7 +110,7 @@
 
 std::uint64_t LedgerIndex::unloadingBytes(const AcceleratorPlace& place) const {
   std::uint64_t bytes = 0;
-  for (const base::ReplicaId id : at(place)) {
+  for (const base::ReplicaId id : onAccelerator(place)) {
     const resource::Replica& replica = replicas_.at(id);
     if (replica.state == resource::ReplicaState::unloading) {
       bytes += replica.bytes;
--- a/src/control/ledger_index.h
+++ b/src/control/ledger_index.h
@@ -28,18 +28,18 @@
  public:
   void rebuild(const CellState& state);
   /// Objects that an update has changed.
-  struct Touched {
+  struct ChangedObjects {
     std::set<base::EngineId> engines;  ///< Engines whose record or replicas changed.
     std::set<std::string> models;      ///< Models whose replicas changed.
   };
   /// Applies changes of the state.
-  Touched update(const std::vector<protocol::Change>& changes);
+  ChangedObjects update(const std::vector<protocol::Change>& changes);
 
   const resource::Replica* find(base::ReplicaId id) const;
   /// Returns the replicas on the engine, in any state.
   const ReplicaIds& onEngine(const base::EngineId& engine) const;
-  const ReplicaIds& at(const AcceleratorPlace& place) const;
-  const ReplicaIds& of(const resource::Servable& servable) const;
+  const ReplicaIds& onAccelerator(const AcceleratorPlace& place) const;
+  const ReplicaIds& ofServable(const resource::Servable& servable) const;
   const std::map<resource::Servable, ReplicaIds>& servables() const { return byServable_; }
   const std::map<base::ReplicaId, resource::Replica>& replicas() const { return replicas_; }
   /// Returns the replicas in state reserved.
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// Lower bound for the rate, so that a rate near zero gives a bounded wait.
-constexpr double kLeastRate = 1e-3;
+constexpr double kMinLoadsPerSecond = 1e-3;
 constexpr double kMicrosPerSecond = 1e6;
 }  // namespace
 
@@ -17,7 +17,7 @@
 
 void LoadRate::begin(base::TimePoint now, const std::string& pool,
                      const resource::EnginePoolSpec& spec) {
-  const double rate = std::max(spec.loadsPerSecond, kLeastRate);
+  const double rate = std::max(spec.loadsPerSecond, kMinLoadsPerSecond);
   nextAt_[pool] = now + base::Duration(static_cast<std::int64_t>(kMicrosPerSecond / rate));
 }
 
--- a/src/control/load_time_estimate.h
+++ b/src/control/load_time_estimate.h
@@ -16,7 +16,7 @@
 /// values of such machines, which the first loads correct.
 class LoadTimeEstimate {
  public:
-  void observe(LoadSource source, std::uint64_t bytes, base::Duration took);
+  void observe(LoadSource source, std::uint64_t bytes, base::Duration duration);
   base::Duration estimate(LoadSource source, std::uint64_t bytes) const;
 
  private:
--- a/src/control/member_change.cpp
+++ b/src/control/member_change.cpp
@@ -38,10 +38,10 @@
 }
 
 void LearnerPromotion::tick(base::TimePoint now, consensus::Raft& raft) {
-  if (now < nextTryAt_) {
+  if (now < nextAttemptAt_) {
     return;
   }
-  nextTryAt_ = now + kPromotionInterval;
+  nextAttemptAt_ = now + kPromotionInterval;
   const consensus::RaftStatus status = raft.status();
   if (status.commitIndex < status.membershipIndex) {
     return;
--- a/src/control/member_change.h
+++ b/src/control/member_change.h
@@ -21,10 +21,10 @@
 class LearnerPromotion {
  public:
   void tick(base::TimePoint now, consensus::Raft& raft);
-  base::TimePoint nextWakeup() const { return nextTryAt_; }
+  base::TimePoint nextWakeup() const { return nextAttemptAt_; }
 
  private:
-  base::TimePoint nextTryAt_;
+  base::TimePoint nextAttemptAt_;
 };
 
 }  // namespace walnut::control
--- a/src/control/outlier_detector.h
+++ b/src/control/outlier_detector.h
@@ -26,35 +26,35 @@
 inline constexpr double kAttemptWeight = 0.25;
 /// Initial failure share of a subject without any outcome: a subject that has not been seen to
 /// succeed is trusted less.
-inline constexpr double kUnknownShare = 0.2;
-inline constexpr double kFailingShare = 0.5;
+inline constexpr double kInitialFailureShare = 0.2;
+inline constexpr double kEjectionFailureShare = 0.5;
 /// A subject is ejected only if its failure share exceeds that of the rest of its service by this
 /// much.
-inline constexpr double kExcessShare = 0.35;
+inline constexpr double kMinExcessFailureShare = 0.35;
 /// A subject with a failure share below this value counts as healthy again.
-inline constexpr double kSoundShare = 0.25;
+inline constexpr double kHealthyFailureShare = 0.25;
 /// Failure share given to a subject when its ejection ends: its next failure ejects it again.
-inline constexpr double kReturnShare = 0.45;
+inline constexpr double kReturnFailureShare = 0.45;
 /// At most this fraction of a service's workers is ejected: the remaining ones could not carry the
 /// load of more.
 inline constexpr double kMostFailing = 0.5;
 /// Minimum number of reporters that must have seen a subject fail. A single reporter may be the
 /// faulty one itself.
-inline constexpr std::size_t kLeastReporters = 2;
+inline constexpr std::size_t kMinReporters = 2;
 /// @name Ejection time
 /// The first ejection lasts the base time. The time doubles with each further ejection, up to a
 /// maximum number of doublings. Returning a worker that still fails costs one or two attempts; a
 /// worker that has recovered gets no work until its ejection ends.
 /// @{
 inline constexpr base::Duration kBaseEjectionTime = std::chrono::seconds(4);
-inline constexpr std::uint32_t kMostDoublings = 2;
+inline constexpr std::uint32_t kMaxDoublings = 2;
 /// @}
 /// Outcomes older than this, without any since, are no longer used to judge a subject.
-inline constexpr base::Duration kOutcomesLast = std::chrono::seconds(30);
+inline constexpr base::Duration kOutcomeLifetime = std::chrono::seconds(30);
 
 /// A subject at its concurrency limit that answers nothing for this long is considered hung. A
 /// working one starts another request within a fraction of a second, as others end.
-inline constexpr base::Duration kFullPatience = std::chrono::seconds(3);
+inline constexpr base::Duration kHangTimeout = std::chrono::seconds(3);
 
 }  // namespace outlier
 
@@ -88,7 +88,7 @@
     bool failing = false;
     double share = 0;             ///< Failure share of the subject.
     double restShare = 0;         ///< Average failure share of the others of its group.
-    std::uint32_t reporters = 0;  ///< That have seen it fail.
+    std::uint32_t reporters = 0;  ///< Number of reporters that have seen it fail.
     /// Time since the previous ejection or return; 0 if there was none.
     base::Duration heldFor{0};
   };
@@ -117,7 +117,7 @@
     /// Time of the latest report with attempts; zero if there was none.
     base::TimePoint reportedAt;
     base::TimePoint answeredAt;  ///< Time of the latest success; without one, of the first report.
-    std::set<Reporter> failureReporters;  ///< That have seen it fail.
+    std::set<Reporter> failureReporters;  ///< Reporters that have seen it fail.
     bool failing = false;
     base::TimePoint changedAt;     ///< Time of the last ejection or return; zero if there was none.
     base::TimePoint ejectedUntil;  ///< End of the current ejection.
@@ -128,10 +128,10 @@
                    base::TimePoint now);
   void endEjection(const Subject& subject, Record& record, base::TimePoint now);
   void eject(const Subject& subject, Record& record, double restShare, base::TimePoint now);
-  void note(const Subject& subject, Record& record, double restShare, base::TimePoint now);
+  void recordChange(const Subject& subject, Record& record, double restShare, base::TimePoint now);
 
   std::map<Subject, Record> records_;  ///< Subjects with reported outcomes.
-  bool unreviewed_ = false;  ///< Outcomes have arrived that may eject or return a subject.
+  bool needsReview_ = false;  ///< Outcomes have arrived that may eject or return a subject.
   std::vector<Change> changes_;
 };
 
@@ -143,33 +143,33 @@
   if (added || outcomes.answered > 0) {
     record.answeredAt = now;
   }
-  const bool answersNobody = now > record.answeredAt + outlier::kFullPatience;
-  const std::uint32_t failures = outcomes.failed + (answersNobody ? outcomes.stalled : 0);
+  const bool isHung = now > record.answeredAt + outlier::kHangTimeout;
+  const std::uint32_t failures = outcomes.failed + (isHung ? outcomes.stalled : 0);
   const std::uint32_t attempts = outcomes.answered + failures;
   if (attempts == 0) {
     return;
   }
-  if (now > record.reportedAt + outlier::kOutcomesLast) {
-    record.share = outlier::kUnknownShare;
+  if (now > record.reportedAt + outlier::kOutcomeLifetime) {
+    record.share = outlier::kInitialFailureShare;
     record.failureReporters.clear();
   }
   record.reportedAt = now;
   const double failed = static_cast<double>(failures) / attempts;
-  const double former = std::pow(1 - outlier::kAttemptWeight, attempts);
-  record.share = former * record.share + (1 - former) * failed;
+  const double retainedWeight = std::pow(1 - outlier::kAttemptWeight, attempts);
+  record.share = retainedWeight * record.share + (1 - retainedWeight) * failed;
   if (failures > 0) {
     record.failureReporters.insert(reporter);
   }
-  if (record.share < outlier::kSoundShare) {
+  if (record.share < outlier::kHealthyFailureShare) {
     record.failureReporters.clear();
     record.ejections = record.failing ? record.ejections : 0;
   }
-  unreviewed_ = unreviewed_ || record.failing || record.share >= outlier::kFailingShare;
+  needsReview_ = needsReview_ || record.failing || record.share >= outlier::kEjectionFailureShare;
 }
 
 template <class Subject, class Reporter>
 bool OutlierDetector<Subject, Reporter>::reviewDue(base::TimePoint now) const {
-  return unreviewed_ || std::any_of(records_.begin(), records_.end(), [now](const auto& entry) {
+  return needsReview_ || std::any_of(records_.begin(), records_.end(), [now](const auto& entry) {
            return entry.second.failing && now >= entry.second.ejectedUntil;
          });
 }
@@ -178,7 +178,7 @@
 void OutlierDetector<Subject, Reporter>::review(
     const std::map<std::string_view, std::vector<Subject>>& groups, std::size_t reporters,
     base::TimePoint now) {
-  unreviewed_ = false;
+  needsReview_ = false;
   for (const auto& [group, subjects] : groups) {
     reviewGroup(subjects, reporters, now);
   }
@@ -187,7 +187,7 @@
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::reviewGroup(const std::vector<Subject>& subjects,
                                                      std::size_t reporters, base::TimePoint now) {
-  std::vector<std::pair<Subject, Record*>> sound;
+  std::vector<std::pair<Subject, Record*>> healthy;
   double shares = 0;
   std::size_t failing = 0;
   for (const Subject& subject : subjects) {
@@ -202,29 +202,30 @@
     if (record.failing) {
       ++failing;
     } else {
-      sound.emplace_back(subject, &record);
+      healthy.emplace_back(subject, &record);
       shares += record.share;
     }
   }
   // Highest failure share first: once it is ejected, the next one is compared with a healthier
   // rest.
-  std::sort(sound.begin(), sound.end(), [](const auto& left, const auto& right) {
+  std::sort(healthy.begin(), healthy.end(), [](const auto& left, const auto& right) {
     return left.second->share > right.second->share;
   });
-  const std::size_t failureReporters = std::min(outlier::kLeastReporters, reporters);
-  const double most = outlier::kMostFailing * static_cast<double>(subjects.size());
-  std::size_t rest = sound.size();
-  for (const auto& [subject, record] : sound) {
-    if (record->share < outlier::kFailingShare || static_cast<double>(failing + 1) > most) {
+  const std::size_t minReporters = std::min(outlier::kMinReporters, reporters);
+  const double maxFailing = outlier::kMostFailing * static_cast<double>(subjects.size());
+  std::size_t healthyCount = healthy.size();
+  for (const auto& [subject, record] : healthy) {
+    if (record->share < outlier::kEjectionFailureShare ||
+        static_cast<double>(failing + 1) > maxFailing) {
       return;
     }
     const double restShare =
-        rest <= 1 ? 0 : (shares - record->share) / static_cast<double>(rest - 1);
-    if (record->share >= restShare + outlier::kExcessShare &&
-        record->failureReporters.size() >= failureReporters) {
+        healthyCount <= 1 ? 0 : (shares - record->share) / static_cast<double>(healthyCount - 1);
+    if (record->share >= restShare + outlier::kMinExcessFailureShare &&
+        record->failureReporters.size() >= minReporters) {
       eject(subject, *record, restShare, now);
       shares -= record->share;
-      --rest;
+      --healthyCount;
       ++failing;
     }
   }
@@ -233,32 +234,32 @@
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::endEjection(const Subject& subject, Record& record,
                                                      base::TimePoint now) {
-  const bool answers = record.share < outlier::kSoundShare;
-  if (!answers && now < record.ejectedUntil) {
+  const bool isHealthy = record.share < outlier::kHealthyFailureShare;
+  if (!isHealthy && now < record.ejectedUntil) {
     return;
   }
   record.failing = false;
-  if (answers) {
+  if (isHealthy) {
     record.ejections = 0;
   } else {
-    record.share = outlier::kReturnShare;
+    record.share = outlier::kReturnFailureShare;
   }
-  note(subject, record, 0, now);
+  recordChange(subject, record, 0, now);
 }
 
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::eject(const Subject& subject, Record& record,
                                                double restShare, base::TimePoint now) {
   record.failing = true;
-  record.ejectedUntil = now + outlier::kBaseEjectionTime *
-                                  (1U << std::min(record.ejections, outlier::kMostDoublings));
+  record.ejectedUntil =
+      now + outlier::kBaseEjectionTime * (1U << std::min(record.ejections, outlier::kMaxDoublings));
   ++record.ejections;
-  note(subject, record, restShare, now);
+  recordChange(subject, record, restShare, now);
 }
 
 template <class Subject, class Reporter>
-void OutlierDetector<Subject, Reporter>::note(const Subject& subject, Record& record,
-                                              double restShare, base::TimePoint now) {
+void OutlierDetector<Subject, Reporter>::recordChange(const Subject& subject, Record& record,
+                                                      double restShare, base::TimePoint now) {
   const bool first = record.changedAt == base::TimePoint();
   const base::TimePoint since = std::exchange(record.changedAt, now);
   changes_.push_back({subject, record.failing, record.share, restShare,
--- a/src/control/peer_directory.cpp
+++ b/src/control/peer_directory.cpp
@@ -13,11 +13,11 @@
 
 void PeerDirectory::closed(protocol::ConnectionId connection) {
   peers_.erase(connection);
-  std::erase_if(lastHeard_, [&](const auto& heard) { return heard.second == connection; });
+  std::erase_if(lastConnection_, [&](const auto& entry) { return entry.second == connection; });
 }
 
-void PeerDirectory::heard(protocol::ConnectionId connection, base::ServerId server) {
-  lastHeard_[server] = connection;
+void PeerDirectory::recordContact(protocol::ConnectionId connection, base::ServerId server) {
+  lastConnection_[server] = connection;
 }
 
 bool PeerDirectory::hasRole(protocol::ConnectionId connection, protocol::PeerRole role) const {
@@ -47,7 +47,7 @@
   return routers.size();
 }
 
-void PeerDirectory::learn(const consensus::Membership& membership) {
+void PeerDirectory::updateEndpoints(const consensus::Membership& membership) {
   for (const consensus::Member& member : membership.members) {
     endpoints_[member.id] = member.peerEndpoint;
   }
@@ -59,9 +59,9 @@
   if (endpoint != endpoints_.end()) {
     return SendToServer{server, endpoint->second, std::move(message)};
   }
-  const auto heard = lastHeard_.find(server);
-  if (heard != lastHeard_.end()) {
-    return SendToConnection{heard->second, std::move(message)};
+  const auto connection = lastConnection_.find(server);
+  if (connection != lastConnection_.end()) {
+    return SendToConnection{connection->second, std::move(message)};
   }
   return std::nullopt;
 }
--- a/src/control/peer_directory.h
+++ b/src/control/peer_directory.h
@@ -32,10 +32,10 @@
 
   /// Records that the server has sent a message over the connection, so that replies can be sent
   /// over it.
-  void heard(protocol::ConnectionId connection, base::ServerId server);
+  void recordContact(protocol::ConnectionId connection, base::ServerId server);
   /// Adds the endpoints of the members. Endpoints of servers that have left the membership are
   /// kept, so that they can be informed.
-  void learn(const consensus::Membership& membership);
+  void updateEndpoints(const consensus::Membership& membership);
   /// @return the action that sends to the server: to its endpoint or, while that is unknown, over
   /// the connection that the server last used; empty if neither is known.
   std::optional<ControllerAction> sendTo(base::ServerId server, protocol::Message message) const;
@@ -46,7 +46,7 @@
   base::CellId cell_;
   std::map<protocol::ConnectionId, protocol::Hello> peers_;
   std::map<base::ServerId, base::Endpoint> endpoints_;
-  std::map<base::ServerId, protocol::ConnectionId> lastHeard_;
+  std::map<base::ServerId, protocol::ConnectionId> lastConnection_;
 };
 
 }  // namespace walnut::control
--- a/src/control/placement_input.h
+++ b/src/control/placement_input.h
@@ -26,7 +26,7 @@
   const ReplicaIds& changing;
   /// True once all routers have had time to report to this leader: from then on, a target without
   /// demand is idle.
-  bool settled = false;
+  bool routersReported = false;
 
   /// @return true if the engine may get new replicas and its replicas may serve.
   bool takesWork(const resource::Engine& engine) const {
@@ -43,7 +43,7 @@
   }
   /// @return true if streams wait for this servable of a previous version, or for an adapter on top
   /// of it.
-  bool formerVersionWanted(const resource::Servable& servable) const {
+  bool hasPreviousVersionDemand(const resource::Servable& servable) const {
     for (auto entry = demand.lower_bound({servable.model, "", ""});
          entry != demand.end() && entry->first.model == servable.model; ++entry) {
       const bool same = entry->first.version == servable.version &&
--- a/src/control/placement_policy.cpp
+++ b/src/control/placement_policy.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 /// Backoff after the first failed load of a servable; it doubles with each further failure.
-constexpr base::Duration kFirstRetry = std::chrono::seconds(1);
+constexpr base::Duration kInitialRetryBackoff = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxRetryDoublings = 3;
 
 /// Returns the number of store reads, including this one, that may run at once for a need of this
 /// urgency: a quarter is reserved for interactive requests that arrive later, and half for all
 /// waiting requests.
-std::uint32_t readsFor(const ReplicaNeed& need, const resource::EnginePoolSpec& spec) {
+std::uint32_t maxStoreReads(const ReplicaNeed& need, const resource::EnginePoolSpec& spec) {
   constexpr std::uint32_t kQuarters = 4;
   const std::uint32_t all = spec.maxConcurrentLoads;
   switch (need.urgency) {
@@ -23,7 +23,7 @@
       return all;
     case Urgency::batch:
       return std::max(1U, all - all / kQuarters);
-    case Urgency::ahead:
+    case Urgency::preload:
       return std::max(1U, all / 2);
   }
   return all;
@@ -33,11 +33,11 @@
 std::vector<CommandBody> PlacementPolicy::decide(const PlacementInput& input,
                                                  std::set<std::string> models,
                                                  UsageTracker& usage) {
-  wakeup_ = base::kNever;
+  nextWakeup_ = base::kNever;
   decisions_.clear();
   storeLoadsDecided_.clear();
-  models.merge(unmet_);
-  unmet_.clear();
+  models.merge(modelsWithUnmetNeeds_);
+  modelsWithUnmetNeeds_.clear();
   models.merge(takeDue(input.now));
   TargetPlan plan = planTargets(input, models, usage, keepAlive_);
   setDue(models, plan.dueAt);
@@ -45,14 +45,14 @@
   for (const base::ReplicaId id : plan.surplus) {
     unload(space, id);
   }
-  for (const ReplicaNeed& need : inOrder(std::move(plan.needs))) {
-    if (space.searched() >= searchLimit_) {
-      leaveToNextRun(input, need);
+  for (const ReplicaNeed& need : sortNeeds(std::move(plan.needs))) {
+    if (space.examinedCount() >= searchLimit_) {
+      deferToNextRun(input, need);
       continue;
     }
-    lookedAtInRun_[need.servable] = run_;
+    lastExaminedRun_[need.servable] = run_;
     for (std::uint32_t count = 0; count < need.count; ++count) {
-      serve(input, space, need);
+      placeOrEvict(input, space, need);
     }
   }
   return std::exchange(decisions_, {});
@@ -71,10 +71,10 @@
 void PlacementPolicy::setDue(const std::set<std::string>& models,
                              const std::map<std::string, base::TimePoint>& at) {
   for (const std::string& model : models) {
-    const auto former = dueAt_.find(model);
-    if (former != dueAt_.end()) {
-      due_.erase({former->second, model});
-      dueAt_.erase(former);
+    const auto previous = dueAt_.find(model);
+    if (previous != dueAt_.end()) {
+      due_.erase({previous->second, model});
+      dueAt_.erase(previous);
     }
     const auto present = at.find(model);
     if (present != at.end()) {
@@ -84,58 +84,58 @@
   }
 }
 
-std::vector<ReplicaNeed> PlacementPolicy::inOrder(std::vector<ReplicaNeed> needs) {
+std::vector<ReplicaNeed> PlacementPolicy::sortNeeds(std::vector<ReplicaNeed> needs) {
   ++run_;
-  if (!std::exchange(limited_, false)) {
-    lookedAtInRun_.clear();  // All needs were examined: only deadlines decide.
+  if (!std::exchange(searchLimitReached_, false)) {
+    lastExaminedRun_.clear();  // All needs were examined: only deadlines decide.
   }
-  std::map<resource::Servable, std::uint64_t> lookedAt;
+  std::map<resource::Servable, std::uint64_t> lastExamined;
   for (const ReplicaNeed& need : needs) {
-    const auto found = lookedAtInRun_.find(need.servable);
-    lookedAt[need.servable] = found == lookedAtInRun_.end() ? 0 : found->second;
+    const auto found = lastExaminedRun_.find(need.servable);
+    lastExamined[need.servable] = found == lastExaminedRun_.end() ? 0 : found->second;
   }
   std::stable_sort(needs.begin(), needs.end(),
                    [&](const ReplicaNeed& one, const ReplicaNeed& other) {
-                     return std::tie(one.urgency, lookedAt.at(one.servable)) <
-                            std::tie(other.urgency, lookedAt.at(other.servable));
+                     return std::tie(one.urgency, lastExamined.at(one.servable)) <
+                            std::tie(other.urgency, lastExamined.at(other.servable));
                    });
-  lookedAtInRun_ = std::move(lookedAt);
+  lastExaminedRun_ = std::move(lastExamined);
   return needs;
 }
 
-void PlacementPolicy::leaveToNextRun(const PlacementInput& input, const ReplicaNeed& need) {
-  unmet_.insert(need.servable.model);
-  wakeup_ = input.now;
-  limited_ = true;
+void PlacementPolicy::deferToNextRun(const PlacementInput& input, const ReplicaNeed& need) {
+  modelsWithUnmetNeeds_.insert(need.servable.model);
+  nextWakeup_ = input.now;
+  searchLimitReached_ = true;
 }
 
 void PlacementPolicy::unload(SpaceFinder& space, base::ReplicaId replica) {
-  space.noteUnload(replica);
+  space.recordUnload(replica);
   decisions_.emplace_back(BeginUnload{replica});
 }
 
-void PlacementPolicy::serve(const PlacementInput& input, SpaceFinder& space,
-                            const ReplicaNeed& need) {
-  if (need.urgency != Urgency::ahead) {
+void PlacementPolicy::placeOrEvict(const PlacementInput& input, SpaceFinder& space,
+                                   const ReplicaNeed& need) {
+  if (need.urgency != Urgency::preload) {
     // The model stays in the set until the placement is applied, which marks it as changed.
-    unmet_.insert(need.servable.model);
+    modelsWithUnmetNeeds_.insert(need.servable.model);
   }
   const auto failure = failures_.find(need.servable);
   if (failure != failures_.end() && input.now < failure->second.retryAt) {
-    wakeup_ = std::min(wakeup_, failure->second.retryAt);
+    nextWakeup_ = std::min(nextWakeup_, failure->second.retryAt);
     return;
   }
   const auto choice = space.findFree(need);
   if (!choice) {
-    if (need.urgency != Urgency::ahead && !space.awaitUnload(need)) {
+    if (need.urgency != Urgency::preload && !space.reserveUnloading(need)) {
       for (const base::ReplicaId id : space.evictFor(need)) {
         decisions_.emplace_back(BeginUnload{id});
       }
     }
     return;
   }
-  space.take(need, choice->place);
-  if (choice->source == LoadSource::store && !storeAllows(input, space, need)) {
+  space.reserve(need, choice->place);
+  if (choice->source == LoadSource::store && !tryBeginStoreLoad(input, space, need)) {
     return;
   }
   PlaceReplica placement;
@@ -144,21 +144,21 @@
   placement.incarnation = choice->incarnation;
   placement.accelerator = choice->place.accelerator;
   placement.bytes = need.bytes;
-  placement.formerVersion = need.formerVersion;
+  placement.previousVersion = need.previousVersion;
   loads_[{choice->place, need.servable}] = {choice->source, need.checkpointBytes};
   decisions_.emplace_back(std::move(placement));
 }
 
-bool PlacementPolicy::storeAllows(const PlacementInput& input, const SpaceFinder& space,
-                                  const ReplicaNeed& need) {
+bool PlacementPolicy::tryBeginStoreLoad(const PlacementInput& input, const SpaceFinder& space,
+                                        const ReplicaNeed& need) {
   const std::string& pool = need.model.pool;
   const resource::EnginePoolSpec spec = input.state.poolOf(need.model);
   const base::TimePoint rateAllowsAt = rate_.nextAt(pool);
   if (rateAllowsAt > input.now) {
-    wakeup_ = std::min(wakeup_, rateAllowsAt);
+    nextWakeup_ = std::min(nextWakeup_, rateAllowsAt);
     return false;
   }
-  if (storeLoads(input, space, pool) + storeLoadsDecided_[pool] >= readsFor(need, spec)) {
+  if (storeLoads(input, space, pool) + storeLoadsDecided_[pool] >= maxStoreReads(need, spec)) {
     return false;
   }
   ++storeLoadsDecided_[pool];
@@ -201,7 +201,7 @@
   Failure& failure = failures_[servable];
   const std::uint32_t doublings = std::min(failure.count, kMaxRetryDoublings);
   ++failure.count;
-  failure.retryAt = now + kFirstRetry * (1U << doublings);
+  failure.retryAt = now + kInitialRetryBackoff * (1U << doublings);
 }
 
 }  // namespace walnut::control
--- a/src/control/placement_policy.h
+++ b/src/control/placement_policy.h
@@ -45,7 +45,7 @@
   /// @return the earliest time at which a remaining need may be met; kNever if only a change of the
   /// input can help.
   base::TimePoint nextWakeup() const {
-    return due_.empty() ? wakeup_ : std::min(wakeup_, due_.begin()->first);
+    return due_.empty() ? nextWakeup_ : std::min(nextWakeup_, due_.begin()->first);
   }
 
  private:
@@ -54,12 +54,13 @@
     base::TimePoint retryAt;
   };
 
-  void serve(const PlacementInput& input, SpaceFinder& space, const ReplicaNeed& need);
+  void placeOrEvict(const PlacementInput& input, SpaceFinder& space, const ReplicaNeed& need);
   /// Sorts the needs, most urgent first. Needs of equal urgency go by deadline; after a run that
   /// could not examine all needs, those that were examined longest ago go first.
-  std::vector<ReplicaNeed> inOrder(std::vector<ReplicaNeed> needs);
-  void leaveToNextRun(const PlacementInput& input, const ReplicaNeed& need);
-  bool storeAllows(const PlacementInput& input, const SpaceFinder& space, const ReplicaNeed& need);
+  std::vector<ReplicaNeed> sortNeeds(std::vector<ReplicaNeed> needs);
+  void deferToNextRun(const PlacementInput& input, const ReplicaNeed& need);
+  bool tryBeginStoreLoad(const PlacementInput& input, const SpaceFinder& space,
+                         const ReplicaNeed& need);
   std::uint32_t storeLoads(const PlacementInput& input, const SpaceFinder& space,
                            const std::string& pool) const;
   void unload(SpaceFinder& space, base::ReplicaId replica);
@@ -68,10 +69,11 @@
               const std::map<std::string, base::TimePoint>& at);
 
   std::size_t searchLimit_;
-  bool limited_ = false;   ///< The last run reached its search limit and left needs unexamined.
+  bool searchLimitReached_ =
+      false;               ///< The last run reached its search limit and left needs unexamined.
   std::uint64_t run_ = 0;  ///< Number of the current run.
   /// For each current need, the last run that examined it.
-  std::map<resource::Servable, std::uint64_t> lookedAtInRun_;
+  std::map<resource::Servable, std::uint64_t> lastExaminedRun_;
   /// A load decided by this object.
   struct Load {
     LoadSource source = LoadSource::store;
@@ -84,8 +86,9 @@
   std::map<std::pair<AcceleratorPlace, resource::Servable>, Load> loads_;
   LoadRate rate_;
   std::map<resource::Servable, Failure> failures_;
-  base::TimePoint wakeup_ = base::kNever;
-  std::set<std::string> unmet_;  ///< Models with a need that the last run did not meet.
+  base::TimePoint nextWakeup_ = base::kNever;
+  std::set<std::string>
+      modelsWithUnmetNeeds_;  ///< Models with a need that the last run did not meet.
   std::map<std::string, base::TimePoint> dueAt_;           ///< Due times of planned models.
   std::set<std::pair<base::TimePoint, std::string>> due_;  ///< Due times in order of time.
   std::vector<CommandBody> decisions_;
--- a/src/control/planning_queue.cpp
+++ b/src/control/planning_queue.cpp
@@ -24,16 +24,16 @@
 
 std::vector<std::string> PlanningQueue::nextStep(const CellState& state,
                                                  const LedgerIndex& ledger) {
-  if (done_ == pass_.size()) {
+  if (plannedCount_ == passModels_.size()) {
     const std::set<std::string> models = allModels(state, ledger);
-    pass_.assign(models.begin(), models.end());
-    done_ = 0;
+    passModels_.assign(models.begin(), models.end());
+    plannedCount_ = 0;
   }
-  const std::size_t count = (pass_.size() + kStepsOfPass - 1) / kStepsOfPass;
-  const std::size_t end = std::min(pass_.size(), done_ + count);
-  std::vector<std::string> step(pass_.begin() + static_cast<std::ptrdiff_t>(done_),
-                                pass_.begin() + static_cast<std::ptrdiff_t>(end));
-  done_ = end;
+  const std::size_t count = (passModels_.size() + kStepsPerPass - 1) / kStepsPerPass;
+  const std::size_t end = std::min(passModels_.size(), plannedCount_ + count);
+  std::vector<std::string> step(passModels_.begin() + static_cast<std::ptrdiff_t>(plannedCount_),
+                                passModels_.begin() + static_cast<std::ptrdiff_t>(end));
+  plannedCount_ = end;
   return step;
 }
 
--- a/src/control/planning_queue.h
+++ b/src/control/planning_queue.h
@@ -17,12 +17,12 @@
 class PlanningQueue {
  public:
   /// Number of steps in which all models are planned once.
-  static constexpr std::size_t kStepsOfPass = 16;
+  static constexpr std::size_t kStepsPerPass = 16;
 
   void mark(const std::string& model) { marked_.insert(model); }
   bool anyMarked() const { return !marked_.empty(); }
   /// Restarts the pass after a change that may concern any model.
-  void restartPass() { done_ = pass_.size(); }
+  void restartPass() { plannedCount_ = passModels_.size(); }
 
   /// @return the marked models and unmarks them.
   std::set<std::string> takeMarked() { return std::exchange(marked_, {}); }
@@ -31,8 +31,8 @@
 
  private:
   std::set<std::string> marked_;
-  std::vector<std::string> pass_;  ///< Models of the current pass.
-  std::size_t done_ = 0;           ///< Number of models of the pass already planned.
+  std::vector<std::string> passModels_;  ///< Models of the current pass.
+  std::size_t plannedCount_ = 0;         ///< Number of models of the pass already planned.
 };
 
 }  // namespace walnut::control
--- a/src/control/platform_watcher.cpp
+++ b/src/control/platform_watcher.cpp
@@ -50,7 +50,7 @@
   return found != byEndpoint_.end() && found->second != engine;
 }
 
-std::vector<base::EngineId> PlatformWatcher::gone() const {
+std::vector<base::EngineId> PlatformWatcher::goneMachines() const {
   std::vector<base::EngineId> gone;
   for (const auto& [engine, since] : absentSince_) {
     if (asOf_ >= since + options_.machineGoneAfter) {
--- a/src/control/platform_watcher.h
+++ b/src/control/platform_watcher.h
@@ -37,7 +37,7 @@
   /// @return true if another machine of the list has this endpoint.
   bool endpointTaken(const base::EngineId& engine, const base::Endpoint& endpoint) const;
   /// @return engines that count as gone.
-  std::vector<base::EngineId> gone() const;
+  std::vector<base::EngineId> goneMachines() const;
 
  private:
   const ControllerOptions& options_;
--- a/src/control/replica_reconciler.cpp
+++ b/src/control/replica_reconciler.cpp
@@ -30,7 +30,7 @@
 }
 
 /// Returns true for refusals of a load that would repeat if it were ordered again.
-bool isLasting(base::ErrorCode code) {
+bool isPermanentRefusal(base::ErrorCode code) {
   return code == base::ErrorCode::insufficientMemory || code == base::ErrorCode::engineLeaving ||
          code == base::ErrorCode::loadFailed || code == base::ErrorCode::outOfRange ||
          code == base::ErrorCode::malformedInput || code == base::ErrorCode::notFound;
@@ -82,7 +82,7 @@
     } else {
       const base::TimePoint due = neverReady_.contains(id) ? now : now + options_.unloadGrace;
       if (unloadAt_.try_emplace(id, due).second) {
-        graceEnds_.insert({due, engine});
+        gracePeriodEnds_.insert({due, engine});
       }
     }
   }
@@ -95,7 +95,7 @@
   if (report == nullptr) {
     return review;
   }
-  noteUnledgered(engine, *report);
+  recordUnledgered(engine, *report);
   for (const base::ReplicaId id : ledger_.onEngine(engine)) {
     const Replica& replica = *ledger_.find(id);
     const bool reportIsLater = report->greatestToken >= lastOrder(engine, placeOf(replica)).token;
@@ -112,7 +112,7 @@
   const bool failed = held != nullptr && held->state == HeldState::failed;
   switch (replica.state) {
     case ReplicaState::reserved: {
-      const bool refused = held == nullptr && loadRefused(replica);
+      const bool refused = held == nullptr && isLoadRefused(replica);
       if (held != nullptr && held->state == HeldState::ready) {
         review.proposals.emplace_back(MarkReplicaReady{replica.id});
       } else if (failed || refused) {
@@ -134,7 +134,8 @@
   }
 }
 
-void ReplicaReconciler::noteUnledgered(const base::EngineId& engine, const engine::Report& report) {
+void ReplicaReconciler::recordUnledgered(const base::EngineId& engine,
+                                         const engine::Report& report) {
   const AcceleratorPlace first{engine, base::AcceleratorIndex{0}};
   for (auto place = unledgered_.lower_bound(first);
        place != unledgered_.end() && place->engine == engine;) {
@@ -149,10 +150,10 @@
 }
 
 void ReplicaReconciler::sendNextOrder(base::TimePoint now, const base::EngineId& engine) {
-  if (!monitor_.mayOrder(engine)) {
+  if (!monitor_.canSendOrder(engine)) {
     return;
   }
-  const std::optional<NeededOrder> needed = neededOrder(now, engine);
+  const std::optional<NeededOrder> needed = nextOrder(now, engine);
   if (!needed) {
     return;
   }
@@ -161,33 +162,33 @@
   orders_[engine][place] = OrderRecord{token, needed->replica, false};
 }
 
-bool ReplicaReconciler::loadRefused(const Replica& replica) const {
+bool ReplicaReconciler::isLoadRefused(const Replica& replica) const {
   const OrderRecord& last = lastOrder(replica.engine, placeOf(replica));
   return last.refused && last.replica == replica.id;
 }
 
-std::optional<ReplicaReconciler::NeededOrder> ReplicaReconciler::neededOrder(
+std::optional<ReplicaReconciler::NeededOrder> ReplicaReconciler::nextOrder(
     base::TimePoint now, const base::EngineId& engine) const {
   const engine::Report* report = currentReport(engine);
   if (report == nullptr) {
     return std::nullopt;
   }
   for (const base::ReplicaId id : ledger_.onEngine(engine)) {
-    auto order = neededFor(now, *ledger_.find(id), *report);
+    auto order = nextOrderFor(now, *ledger_.find(id), *report);
     if (order) {
       return NeededOrder{id, *std::move(order)};
     }
   }
-  auto order = neededForUnledgered(engine, *report);
+  auto order = nextOrderForUnledgered(engine, *report);
   if (!order) {
     return std::nullopt;
   }
   return NeededOrder{base::ReplicaId{}, *std::move(order)};
 }
 
-std::optional<engine::Order> ReplicaReconciler::neededFor(base::TimePoint now,
-                                                          const Replica& replica,
-                                                          const engine::Report& report) const {
+std::optional<engine::Order> ReplicaReconciler::nextOrderFor(base::TimePoint now,
+                                                             const Replica& replica,
+                                                             const engine::Report& report) const {
   const OrderRecord& last = lastOrder(replica.engine, placeOf(replica));
   if (report.greatestToken < last.token) {
     return std::nullopt;
@@ -196,7 +197,7 @@
   if (replica.state == ReplicaState::reserved) {
     const bool absent = held == nullptr || held->state == HeldState::unloading;
     const bool possible = replica.servable.adapter.empty() || baseIsReady(report, replica);
-    return absent && possible && !loadRefused(replica) ? loadOrder(replica) : std::nullopt;
+    return absent && possible && !isLoadRefused(replica) ? loadOrder(replica) : std::nullopt;
   }
   const auto due = unloadAt_.find(replica.id);
   const bool mayUnload =
@@ -207,7 +208,7 @@
   return unloadOrder(replica.servable, replica.accelerator, replica.incarnation);
 }
 
-std::optional<engine::Order> ReplicaReconciler::neededForUnledgered(
+std::optional<engine::Order> ReplicaReconciler::nextOrderForUnledgered(
     const base::EngineId& engine, const engine::Report& report) const {
   for (const HeldServable& held : report.held) {
     const HeldPlace place{held.accelerator, held.servable};
@@ -257,22 +258,22 @@
   }
   const auto record = orders->second.find({call.order->accelerator, call.order->servable});
   const bool same = record != orders->second.end() && record->second.token == call.order->token;
-  if (same && isLasting(call.result.error().code)) {
+  if (same && isPermanentRefusal(call.result.error().code)) {
     record->second.refused = true;
   }
 }
 
 std::set<base::EngineId> ReplicaReconciler::takeDue(base::TimePoint now) {
   std::set<base::EngineId> due;
-  while (!graceEnds_.empty() && graceEnds_.begin()->first <= now) {
-    due.insert(graceEnds_.begin()->second);
-    graceEnds_.erase(graceEnds_.begin());
+  while (!gracePeriodEnds_.empty() && gracePeriodEnds_.begin()->first <= now) {
+    due.insert(gracePeriodEnds_.begin()->second);
+    gracePeriodEnds_.erase(gracePeriodEnds_.begin());
   }
   return due;
 }
 
 base::TimePoint ReplicaReconciler::nextWakeup() const {
-  return graceEnds_.empty() ? base::kNever : graceEnds_.begin()->first;
+  return gracePeriodEnds_.empty() ? base::kNever : gracePeriodEnds_.begin()->first;
 }
 
 void ReplicaReconciler::forget(const base::EngineId& engine) {
--- a/src/control/replica_reconciler.h
+++ b/src/control/replica_reconciler.h
@@ -84,13 +84,13 @@
   const OrderRecord& lastOrder(const base::EngineId& engine, const HeldPlace& place) const;
   void reviewReplica(const resource::Replica& replica, const engine::Report& report,
                      EngineReview& review) const;
-  void noteUnledgered(const base::EngineId& engine, const engine::Report& report);
-  bool loadRefused(const resource::Replica& replica) const;
-  std::optional<NeededOrder> neededOrder(base::TimePoint now, const base::EngineId& engine) const;
-  std::optional<engine::Order> neededFor(base::TimePoint now, const resource::Replica& replica,
-                                         const engine::Report& report) const;
-  std::optional<engine::Order> neededForUnledgered(const base::EngineId& engine,
-                                                   const engine::Report& report) const;
+  void recordUnledgered(const base::EngineId& engine, const engine::Report& report);
+  bool isLoadRefused(const resource::Replica& replica) const;
+  std::optional<NeededOrder> nextOrder(base::TimePoint now, const base::EngineId& engine) const;
+  std::optional<engine::Order> nextOrderFor(base::TimePoint now, const resource::Replica& replica,
+                                            const engine::Report& report) const;
+  std::optional<engine::Order> nextOrderForUnledgered(const base::EngineId& engine,
+                                                      const engine::Report& report) const;
   std::optional<engine::Order> loadOrder(const resource::Replica& replica) const;
 
   const ControllerOptions& options_;
@@ -100,7 +100,7 @@
   std::map<base::EngineId, Orders> orders_;
   std::map<base::ReplicaId, base::TimePoint> unloadAt_;
   ReplicaIds neverReady_;  ///< Replicas seen as reserved in this term and not yet as ready.
-  std::set<std::pair<base::TimePoint, base::EngineId>> graceEnds_;
+  std::set<std::pair<base::TimePoint, base::EngineId>> gracePeriodEnds_;
   std::set<AcceleratorPlace> unledgered_;
 };
 
--- a/src/control/space_finder.cpp
+++ b/src/control/space_finder.cpp
@@ -13,15 +13,17 @@
 
 /// A replica that was in use within this time is not evicted, so that two models do not evict each
 /// other in turn.
-constexpr base::Duration kEvictionRest = std::chrono::seconds(2);
+constexpr base::Duration kMinIdleBeforeEviction = std::chrono::seconds(2);
 
-std::uint64_t lookUp(const std::map<AcceleratorPlace, std::uint64_t>& bytes,
-                     const AcceleratorPlace& place) {
+std::uint64_t bytesAt(const std::map<AcceleratorPlace, std::uint64_t>& bytes,
+                      const AcceleratorPlace& place) {
   const auto found = bytes.find(place);
   return found == bytes.end() ? 0 : found->second;
 }
 
-std::uint64_t less(std::uint64_t from, std::uint64_t bytes) { return from - std::min(from, bytes); }
+std::uint64_t subtractClamped(std::uint64_t from, std::uint64_t bytes) {
+  return from - std::min(from, bytes);
+}
 
 bool inPool(const resource::Engine& engine, const resource::EnginePoolSpec& pool) {
   const bool zone = pool.zones.empty() || std::find(pool.zones.begin(), pool.zones.end(),
@@ -33,18 +35,19 @@
 
 std::uint64_t SpaceFinder::freeBytes(const AcceleratorPlace& place) const {
   const std::uint64_t free = input_.state.freeBytes(place.engine, place.accelerator);
-  return std::min(less(free, lookUp(taken_, place)), comingBytes(place));
+  return std::min(subtractClamped(free, bytesAt(reservedBytes_, place)), reservableBytes(place));
 }
 
-std::uint64_t SpaceFinder::comingBytes(const AcceleratorPlace& place) const {
+std::uint64_t SpaceFinder::reservableBytes(const AcceleratorPlace& place) const {
   const std::uint64_t free = input_.state.freeBytes(place.engine, place.accelerator);
-  const std::uint64_t unloading = input_.ledger.unloadingBytes(place) + lookUp(unloaded_, place);
-  return less(free + unloading, lookUp(promised_, place));
+  const std::uint64_t unloading =
+      input_.ledger.unloadingBytes(place) + bytesAt(decidedUnloadBytes_, place);
+  return subtractClamped(free + unloading, bytesAt(promisedBytes_, place));
 }
 
 SpaceFinder::Places SpaceFinder::placesOfAdapter(const ReplicaNeed& need) const {
   Places places;
-  for (const base::ReplicaId id : input_.ledger.of(baseOf(need.servable))) {
+  for (const base::ReplicaId id : input_.ledger.ofServable(baseOf(need.servable))) {
     const Replica& replica = *input_.ledger.find(id);
     if (replica.state == ReplicaState::ready && input_.serves(replica)) {
       places.push_back({replica.engine, replica.accelerator});
@@ -79,8 +82,8 @@
   return pool;
 }
 
-bool SpaceFinder::servableMayGoTo(const ReplicaNeed& need, const AcceleratorPlace& place) const {
-  return !input_.unledgered.contains(place) && !takenFor_.contains({place, need.servable}) &&
+bool SpaceFinder::canPlaceOn(const ReplicaNeed& need, const AcceleratorPlace& place) const {
+  return !input_.unledgered.contains(place) && !reservedFor_.contains({place, need.servable}) &&
          !input_.ledger.holds(place, need.servable) &&
          input_.monitor.serves(input_.now, place.engine);
 }
@@ -93,17 +96,17 @@
   placement.incarnation = input_.state.engines().at(place.engine).incarnation;
   placement.accelerator = place.accelerator;
   placement.bytes = need.bytes;
-  placement.formerVersion = need.formerVersion;
+  placement.previousVersion = need.previousVersion;
   return placement;
 }
 
 bool SpaceFinder::fits(const ReplicaNeed& need, const AcceleratorPlace& place) const {
-  return servableMayGoTo(need, place) && !input_.state.checkPlacement(placementAt(need, place));
+  return canPlaceOn(need, place) && !input_.state.checkPlacement(placementAt(need, place));
 }
 
 LoadSource SpaceFinder::sourceAt(const base::EngineId& engine,
                                  const std::string& checkpoint) const {
-  const auto tier = input_.monitor.cachedAt(engine, checkpoint);
+  const auto tier = input_.monitor.nearestCacheTier(engine, checkpoint);
   if (!tier) {
     return LoadSource::store;
   }
@@ -114,12 +117,12 @@
 /// an engine and a zone that do not have the servable yet, and by free memory.
 std::optional<PlacementChoice> SpaceFinder::findFree(const ReplicaNeed& need) {
   Pool& pool = poolOf(need);
-  if (need.bytes >= pool.noneFree) {
+  if (need.bytes >= pool.tooLargeForFree) {
     return std::nullopt;
   }
   std::set<base::EngineId> engines;
   std::map<base::ZoneId, std::size_t> zones;
-  for (const base::ReplicaId id : input_.ledger.of(need.servable)) {
+  for (const base::ReplicaId id : input_.ledger.ofServable(need.servable)) {
     const base::EngineId& engine = input_.ledger.find(id)->engine;
     engines.insert(engine);
     ++zones[input_.state.engines().at(engine).zone];
@@ -129,7 +132,7 @@
   std::optional<Rank> bestRank;
   std::optional<PlacementChoice> best;
   bool anyFree = false;
-  searched_ += pool.places.size();
+  examinedCount_ += pool.places.size();
   for (const AcceleratorPlace& place : pool.places) {
     const std::uint64_t free = freeBytes(place);
     anyFree = anyFree || free >= need.bytes;
@@ -146,73 +149,74 @@
       best = PlacementChoice{place, engine.incarnation, source};
     }
   }
-  pool.noneFree = anyFree ? pool.noneFree : need.bytes;
+  pool.tooLargeForFree = anyFree ? pool.tooLargeForFree : need.bytes;
   return best;
 }
 
-void SpaceFinder::take(const ReplicaNeed& need, const AcceleratorPlace& place) {
-  taken_[place] += need.bytes;
-  promised_[place] += need.bytes;
-  takenFor_.insert({place, need.servable});
-  budgetTaken_[need.model.budget] += need.bytes;
+void SpaceFinder::reserve(const ReplicaNeed& need, const AcceleratorPlace& place) {
+  reservedBytes_[place] += need.bytes;
+  promisedBytes_[place] += need.bytes;
+  reservedFor_.insert({place, need.servable});
+  budgetReservedBytes_[need.model.budget] += need.bytes;
 }
 
-bool SpaceFinder::awaitUnload(const ReplicaNeed& need) {
+bool SpaceFinder::reserveUnloading(const ReplicaNeed& need) {
   Pool& pool = poolOf(need);
-  if (need.bytes >= pool.noneComing) {
+  if (need.bytes >= pool.tooLargeForUnloading) {
     return false;
   }
-  bool anyComing = false;
-  searched_ += pool.places.size();
+  bool anyUnloading = false;
+  examinedCount_ += pool.places.size();
   for (const AcceleratorPlace& place : pool.places) {
-    const bool becomesFree = input_.ledger.unloadingBytes(place) + lookUp(unloaded_, place) > 0;
-    if (!becomesFree || comingBytes(place) < need.bytes) {
+    const bool becomesFree =
+        input_.ledger.unloadingBytes(place) + bytesAt(decidedUnloadBytes_, place) > 0;
+    if (!becomesFree || reservableBytes(place) < need.bytes) {
       continue;
     }
-    anyComing = true;
-    if (servableMayGoTo(need, place)) {
-      promised_[place] += need.bytes;
-      takenFor_.insert({place, need.servable});
+    anyUnloading = true;
+    if (canPlaceOn(need, place)) {
+      promisedBytes_[place] += need.bytes;
+      reservedFor_.insert({place, need.servable});
       return true;
     }
   }
-  pool.noneComing = anyComing ? pool.noneComing : need.bytes;
+  pool.tooLargeForUnloading = anyUnloading ? pool.tooLargeForUnloading : need.bytes;
   return false;
 }
 
-void SpaceFinder::noteUnload(base::ReplicaId id) {
+void SpaceFinder::recordUnload(base::ReplicaId id) {
   const Replica& replica = *input_.ledger.find(id);
-  if (!unloads_.insert(id).second) {
+  if (!decidedUnloads_.insert(id).second) {
     return;
   }
-  unloaded_[{replica.engine, replica.accelerator}] += replica.bytes;
+  decidedUnloadBytes_[{replica.engine, replica.accelerator}] += replica.bytes;
   for (auto& [name, pool] : pools_) {
-    pool.noneComing = UINT64_MAX;
-    pool.noneEvictable = UINT64_MAX;
+    pool.tooLargeForUnloading = UINT64_MAX;
+    pool.tooLargeForEviction = UINT64_MAX;
   }
 }
 
-bool SpaceFinder::outdated(const Servable& servable) const {
+bool SpaceFinder::isOutdated(const Servable& servable) const {
   const auto* model = input_.state.findModel(servable.model);
-  const bool former = model == nullptr || model->activeVersion != servable.version;
-  return former && !input_.formerVersionWanted(servable);
+  const bool isPrevious = model == nullptr || model->activeVersion != servable.version;
+  return isPrevious && !input_.hasPreviousVersionDemand(servable);
 }
 
-bool SpaceFinder::aboveMinimum(const Servable& servable) const {
+bool SpaceFinder::isAboveMinimum(const Servable& servable) const {
   const auto* model = input_.state.findModel(servable.model);
   if (!servable.adapter.empty() || model == nullptr) {
     return true;
   }
   std::uint32_t serving = 0;
-  for (const base::ReplicaId id : input_.ledger.of(servable)) {
-    serving += !unloads_.contains(id) && input_.serves(*input_.ledger.find(id)) ? 1U : 0U;
+  for (const base::ReplicaId id : input_.ledger.ofServable(servable)) {
+    serving += !decidedUnloads_.contains(id) && input_.serves(*input_.ledger.find(id)) ? 1U : 0U;
   }
   return serving > model->minReplicas;
 }
 
-bool SpaceFinder::idle(const Replica& replica) const {
+bool SpaceFinder::isIdle(const Replica& replica) const {
   const DemandTarget target = targetOf(replica.servable);
-  if (input_.now < input_.usage.lastUse(target) + kEvictionRest) {
+  if (input_.now < input_.usage.lastUse(target) + kMinIdleBeforeEviction) {
     return false;
   }
   for (auto entry = input_.demand.lower_bound({target.model, ""});
@@ -233,22 +237,22 @@
                       });
 }
 
-bool SpaceFinder::evictable(const Replica& replica) const {
-  if (replica.state != ReplicaState::ready || unloads_.contains(replica.id) ||
+bool SpaceFinder::isEvictable(const Replica& replica) const {
+  if (replica.state != ReplicaState::ready || decidedUnloads_.contains(replica.id) ||
       input_.changing.contains(replica.id)) {
     return false;
   }
-  if (outdated(replica.servable)) {
+  if (isOutdated(replica.servable)) {
     return true;
   }
-  return input_.settled && idle(replica) && aboveMinimum(replica.servable);
+  return input_.routersReported && isIdle(replica) && isAboveMinimum(replica.servable);
 }
 
 /// Returns the cost of losing the replica. It is lower the longer the replica has been unused and
 /// the lower the cold-start weight of its budget.
-double SpaceFinder::valueOf(const Replica& replica) const {
+double SpaceFinder::retentionValue(const Replica& replica) const {
   const auto* model = input_.state.findModel(replica.servable.model);
-  if (model == nullptr || outdated(replica.servable)) {
+  if (model == nullptr || isOutdated(replica.servable)) {
     return 0;
   }
   const double weight = input_.state.budgetOf(*model).coldStartWeight;
@@ -260,37 +264,38 @@
 std::optional<SpaceFinder::EvictionGroup> SpaceFinder::groupOf(const Replica& replica,
                                                                const ReplicaNeed& need) const {
   const bool own = replica.servable == need.servable || replica.servable == baseOf(need.servable);
-  if (own || !evictable(replica)) {
+  if (own || !isEvictable(replica)) {
     return std::nullopt;
   }
   EvictionGroup group;
   if (replica.servable.adapter.empty()) {
-    for (const base::ReplicaId id : input_.ledger.at({replica.engine, replica.accelerator})) {
+    for (const base::ReplicaId id :
+         input_.ledger.onAccelerator({replica.engine, replica.accelerator})) {
       const Replica& other = *input_.ledger.find(id);
       const bool over =
           !other.servable.adapter.empty() && baseOf(other.servable) == replica.servable;
-      const bool leaves = other.state == ReplicaState::unloading || unloads_.contains(id);
+      const bool leaves = other.state == ReplicaState::unloading || decidedUnloads_.contains(id);
       if (!over || leaves) {
         continue;
       }
-      if (!evictable(other)) {
+      if (!isEvictable(other)) {
         return std::nullopt;
       }
       group.replicas.push_back(id);
       group.bytes += other.bytes;
-      group.value += valueOf(other);
+      group.value += retentionValue(other);
     }
   }
   group.replicas.push_back(replica.id);
   group.bytes += replica.bytes;
-  group.value += valueOf(replica);
+  group.value += retentionValue(replica);
   return group;
 }
 
 std::vector<SpaceFinder::EvictionGroup> SpaceFinder::groupsAt(const AcceleratorPlace& place,
                                                               const ReplicaNeed& need) const {
   std::vector<EvictionGroup> groups;
-  for (const base::ReplicaId id : input_.ledger.at(place)) {
+  for (const base::ReplicaId id : input_.ledger.onAccelerator(place)) {
     auto group = groupOf(*input_.ledger.find(id), need);
     if (group) {
       groups.push_back(*std::move(group));
@@ -324,9 +329,9 @@
   return chosen.bytes >= bytes && !chosen.replicas.empty() ? std::optional(chosen) : std::nullopt;
 }
 
-std::vector<base::ReplicaId> SpaceFinder::accept(const EvictionGroup& group) {
+std::vector<base::ReplicaId> SpaceFinder::decideUnloads(const EvictionGroup& group) {
   for (const base::ReplicaId id : group.replicas) {
-    noteUnload(id);
+    recordUnload(id);
   }
   return group.replicas;
 }
@@ -337,28 +342,29 @@
     return evictWithinBudget(need, over);
   }
   Pool& pool = poolOf(need);
-  if (need.bytes >= pool.noneEvictable) {
+  if (need.bytes >= pool.tooLargeForEviction) {
     return {};
   }
   bool anyEvictable = false;
   std::optional<EvictionGroup> best;
   AcceleratorPlace bestPlace;
-  searched_ += pool.places.size();
+  examinedCount_ += pool.places.size();
   for (const AcceleratorPlace& place : pool.places) {
-    auto group = cheapest(groupsAt(place, need), less(need.bytes, comingBytes(place)));
+    auto group =
+        cheapest(groupsAt(place, need), subtractClamped(need.bytes, reservableBytes(place)));
     anyEvictable = anyEvictable || group;
-    if (group && servableMayGoTo(need, place) && (!best || group->value < best->value)) {
+    if (group && canPlaceOn(need, place) && (!best || group->value < best->value)) {
       best = std::move(group);
       bestPlace = place;
     }
   }
   if (!best) {
-    pool.noneEvictable = anyEvictable ? pool.noneEvictable : need.bytes;
+    pool.tooLargeForEviction = anyEvictable ? pool.tooLargeForEviction : need.bytes;
     return {};
   }
-  promised_[bestPlace] += need.bytes;
-  takenFor_.insert({bestPlace, need.servable});
-  return accept(*best);
+  promisedBytes_[bestPlace] += need.bytes;
+  reservedFor_.insert({bestPlace, need.servable});
+  return decideUnloads(*best);
 }
 
 const std::map<std::string, SpaceFinder::BudgetUse>& SpaceFinder::budgets() {
@@ -385,13 +391,14 @@
   }
   const auto found = budgets().find(need.model.budget);
   const BudgetUse use = found == budgets().end() ? BudgetUse{} : found->second;
-  return less(use.reserved + budgetTaken_[need.model.budget] + need.bytes, limit);
+  return subtractClamped(use.reserved + budgetReservedBytes_[need.model.budget] + need.bytes,
+                         limit);
 }
 
 std::vector<base::ReplicaId> SpaceFinder::evictWithinBudget(const ReplicaNeed& need,
                                                             std::uint64_t bytes) {
   std::uint64_t leaving = budgets().at(need.model.budget).unloading;
-  for (const base::ReplicaId id : unloads_) {
+  for (const base::ReplicaId id : decidedUnloads_) {
     const Replica& replica = *input_.ledger.find(id);
     const auto* model = input_.state.findModel(replica.servable.model);
     leaving += model != nullptr && model->budget == need.model.budget ? replica.bytes : 0;
@@ -414,8 +421,8 @@
   if (!chosen) {
     return {};
   }
-  budgetTaken_[need.model.budget] += need.bytes;
-  return accept(*chosen);
+  budgetReservedBytes_[need.model.budget] += need.bytes;
+  return decideUnloads(*chosen);
 }
 
 }  // namespace walnut::control
--- a/src/control/target_planner.cpp
+++ b/src/control/target_planner.cpp
@@ -48,12 +48,12 @@
 
   TargetPlan run(const std::set<std::string>& models) {
     for (const std::string& name : models) {
-      noteUse(name);
+      recordModelUse(name);
       const auto* model = input_.state.findModel(name);
       if (model != nullptr) {
         planModel(name, *model);
       }
-      planHeld(name);
+      planPresentReplicas(name);
     }
     std::stable_sort(plan_.needs.begin(), plan_.needs.end(),
                      [](const ReplicaNeed& one, const ReplicaNeed& other) {
@@ -67,26 +67,27 @@
 
  private:
   /// @return true if a replica of the target with this last use is still to be held.
-  bool held(const DemandTarget& target, base::TimePoint lastUse,
-            const resource::ModelSpec& model) const {
+  bool isHeld(const DemandTarget& target, base::TimePoint lastUse,
+              const resource::ModelSpec& model) const {
     const HoldPlan& plan = keepAlive_.planOf(input_, usage_, target, model);
-    noteDue(target.model, lastUse, plan);
+    recordDueTime(target.model, lastUse, plan);
     return plan.holdsAt(input_.now - lastUse);
   }
-  bool held(const DemandTarget& target, const resource::ModelSpec& model) const {
-    return held(target, usage_.lastUse(target), model);
+  bool isHeld(const DemandTarget& target, const resource::ModelSpec& model) const {
+    return isHeld(target, usage_.lastUse(target), model);
   }
   /// @return true if the target is to be loaded ahead of its next use.
-  bool wakes(const DemandTarget& target, const resource::ModelSpec& model) const {
+  bool shouldPreload(const DemandTarget& target, const resource::ModelSpec& model) const {
     const base::TimePoint lastUse = usage_.lastUse(target);
     const HoldPlan& plan = keepAlive_.planOf(input_, usage_, target, model);
-    noteDue(target.model, lastUse, plan);
-    return input_.settled && plan.wakesAt(input_.now - lastUse);
+    recordDueTime(target.model, lastUse, plan);
+    return input_.routersReported && plan.preloadsAt(input_.now - lastUse);
   }
-  void noteDue(const std::string& model, base::TimePoint lastUse, const HoldPlan& plan) const {
+  void recordDueTime(const std::string& model, base::TimePoint lastUse,
+                     const HoldPlan& plan) const {
     const base::Duration idle = input_.now - lastUse;
     for (const base::Duration due :
-         {plan.hold.value_or(base::Duration{}), plan.wakeAt, plan.wakeUntil}) {
+         {plan.hold.value_or(base::Duration{}), plan.preloadFrom, plan.preloadUntil}) {
       if (due > idle && due != base::Duration::max()) {
         const auto [entry, added] = dueAt_.try_emplace(model, lastUse + due);
         entry->second = std::min(entry->second, lastUse + due);
@@ -94,15 +95,15 @@
     }
   }
 
-  void noteUse(const std::string& model) {
+  void recordModelUse(const std::string& model) {
     const auto range = demandRange(model);
     for (auto entry = range.first; entry != range.second; ++entry) {
       const TotalDemand& total = entry->second;
       if (!entry->first.version.empty()) {
         continue;  // Demand for a previous version does not predict future requests.
       }
-      usage_.used(total.load() > 0 ? input_.now : std::min(input_.now, total.lastArrival),
-                  entry->first);
+      usage_.recordUse(total.load() > 0 ? input_.now : std::min(input_.now, total.lastArrival),
+                       entry->first);
     }
   }
 
@@ -122,25 +123,25 @@
     /// Serving replicas on engines that are responsive and do not fail requests; the others are
     /// replaced if the limit allows. Until all engines have had time to report, none counts as
     /// unresponsive.
-    std::uint32_t heard = 0;
+    std::uint32_t healthy = 0;
   };
   Serving serving(const Servable& servable) const {
     Serving count;
-    for (const base::ReplicaId id : input_.ledger.of(servable)) {
+    for (const base::ReplicaId id : input_.ledger.ofServable(servable)) {
       const Replica& replica = *input_.ledger.find(id);
-      const bool heard =
-          (!input_.settled || input_.monitor.responsive(input_.now, replica.engine)) &&
-          !input_.monitor.failing(replica.engine);
+      const bool healthy =
+          (!input_.routersReported || input_.monitor.isResponsive(input_.now, replica.engine)) &&
+          !input_.monitor.isFailing(replica.engine);
       const bool serves = input_.serves(replica);
       count.all += serves ? 1U : 0U;
-      count.heard += serves && heard ? 1U : 0U;
+      count.healthy += serves && healthy ? 1U : 0U;
     }
     return count;
   }
 
   /// @return true if a ready replica is to be replaced, because it has another version or its
   /// engine is leaving.
-  bool replacementWanted(const std::string& model, const std::string& version) const {
+  bool needsReplacement(const std::string& model, const std::string& version) const {
     const auto& servables = input_.ledger.servables();
     for (auto entry = servables.lower_bound(Servable{model, "", ""});
          entry != servables.end() && entry->first.model == model; ++entry) {
@@ -167,8 +168,8 @@
     std::uint64_t adapterBytes = 0;
     const auto range = demandRange(name);
     for (auto entry = range.first; entry != range.second; ++entry) {
-      if (isFormer(entry->first, model)) {
-        planFormerVersion(entry->first, entry->second, model);
+      if (isPreviousVersion(entry->first, model)) {
+        planPreviousVersion(entry->first, entry->second, model);
       } else if (entry->first.adapter.empty()) {
         demand.add(entry->second);
       } else {
@@ -176,10 +177,10 @@
       }
     }
     const Servable servable{name, model.activeVersion, ""};
-    std::uint32_t wanted = std::max(replicasFor(demand.load), model.minReplicas);
-    if (wanted == 0 && held({name, "", ""}, model) &&
-        replacementWanted(name, model.activeVersion)) {
-      wanted = 1;
+    std::uint32_t targetCount = std::max(replicasFor(demand.load), model.minReplicas);
+    if (targetCount == 0 && isHeld({name, "", ""}, model) &&
+        needsReplacement(name, model.activeVersion)) {
+      targetCount = 1;
     }
     ReplicaNeed need;
     need.servable = servable;
@@ -190,18 +191,18 @@
     need.model = model;
     need.urgency = demand.urgency();
     need.deadline = demand.deadline;
-    settle(std::move(need), std::min(wanted, model.maxReplicas), model.minReplicas);
+    planReplicas(std::move(need), std::min(targetCount, model.maxReplicas), model.minReplicas);
   }
 
-  static bool isFormer(const DemandTarget& target, const resource::ModelSpec& model) {
+  static bool isPreviousVersion(const DemandTarget& target, const resource::ModelSpec& model) {
     return !target.version.empty() && target.version != model.activeVersion;
   }
 
   /// Plans one replica of a previous version for streams that may not be repeated: they must
   /// continue with the weights that they began with, and their engine is leaving. The model's
   /// replica limit applies as usual.
-  void planFormerVersion(const DemandTarget& target, const TotalDemand& total,
-                         const resource::ModelSpec& model) {
+  void planPreviousVersion(const DemandTarget& target, const TotalDemand& total,
+                           const resource::ModelSpec& model) {
     const auto* version = input_.state.findModelVersion(target.version);
     if (version == nullptr || version->model != target.model || total.waiting() == 0) {
       return;
@@ -214,12 +215,12 @@
     need.model = model;
     need.urgency = Urgency::interactive;
     need.deadline = total.earliestDeadline.value_or(base::kNever);
-    need.formerVersion = true;
+    need.previousVersion = true;
     const auto* adapter = input_.state.findAdapter(target.adapter);
     if (adapter != nullptr) {
       need.adapterBytes = adapter->acceleratorBytes;
     }
-    needOneOf(need);
+    addSingleNeed(need);
     if (adapter == nullptr || adapter->model != target.model) {
       return;
     }
@@ -228,15 +229,15 @@
     need.adapterBytes = 0;
     need.checkpoint = adapter->checkpoint;
     need.checkpointBytes = adapter->checkpointBytes;
-    needOneOf(need);
+    addSingleNeed(need);
   }
 
   /// Adds a need for one replica unless one is serving, the limit is reached, or the need was added
   /// before.
-  void needOneOf(ReplicaNeed need) {
+  void addSingleNeed(ReplicaNeed need) {
     const auto all = static_cast<std::uint32_t>(input_.state.replicaCount(need.servable));
     const bool allowed = all < need.model.maxReplicas;
-    if (serving(need.servable).heard > 0 || !allowed || !planned_.insert(need.servable).second) {
+    if (serving(need.servable).healthy > 0 || !allowed || !planned_.insert(need.servable).second) {
       return;
     }
     need.count = 1;
@@ -261,38 +262,38 @@
     need.model = model;
     need.urgency = own.urgency();
     need.deadline = own.deadline;
-    const std::uint32_t wanted = std::min(replicasFor(total.load()), model.maxReplicas);
+    const std::uint32_t targetCount = std::min(replicasFor(total.load()), model.maxReplicas);
     planned_.insert(need.servable);
-    settle(std::move(need), wanted, 0);
+    planReplicas(std::move(need), targetCount, 0);
     return total.load() > 0 ? adapter->acceleratorBytes : 0;
   }
 
   /// Compares the target number of replicas with the present ones and records a need or a surplus.
-  void settle(ReplicaNeed need, std::uint32_t wanted, std::uint32_t minReplicas) {
+  void planReplicas(ReplicaNeed need, std::uint32_t targetCount, std::uint32_t minReplicas) {
     planned_.insert(need.servable);
     const DemandTarget target = targetOf(need.servable);
-    const bool absent = input_.ledger.of(need.servable).empty();
-    if (absent && wanted == 0 && !wakes(target, need.model)) {
+    const bool absent = input_.ledger.ofServable(need.servable).empty();
+    if (absent && targetCount == 0 && !shouldPreload(target, need.model)) {
       return;
     }
     const Serving present = serving(need.servable);
     const std::uint32_t limit = need.model.maxReplicas;
-    if (wanted >= present.all) {
-      usage_.fullyUsed(input_.now, need.servable);
+    if (targetCount >= present.all) {
+      usage_.recordFullUse(input_.now, need.servable);
     }
     std::uint32_t keep = present.all;
-    if (input_.settled && !held(target, usage_.lastFullUse(need.servable), need.model)) {
-      keep = std::max({wanted, minReplicas, held(target, need.model) ? 1U : 0U});
+    if (input_.routersReported && !isHeld(target, usage_.lastFullUse(need.servable), need.model)) {
+      keep = std::max({targetCount, minReplicas, isHeld(target, need.model) ? 1U : 0U});
     }
-    unloadExtra(need.servable, std::min(keep, limit));
+    unloadExcess(need.servable, std::min(keep, limit));
     const auto all = static_cast<std::uint32_t>(input_.state.replicaCount(need.servable));
-    const std::uint32_t room = limit - std::min(limit, all);
-    if (wanted == 0 && wakes(target, need.model)) {
-      wanted = 1;
-      need.urgency = Urgency::ahead;
+    const std::uint32_t remainingLimit = limit - std::min(limit, all);
+    if (targetCount == 0 && shouldPreload(target, need.model)) {
+      targetCount = 1;
+      need.urgency = Urgency::preload;
     }
-    if (wanted > present.heard) {
-      need.count = std::min(wanted - present.heard, room);
+    if (targetCount > present.healthy) {
+      need.count = std::min(targetCount - present.healthy, remainingLimit);
       if (need.count == 0) {
         unloadFailing(need.servable);
       }
@@ -305,9 +306,9 @@
   /// Unloads a replica on an engine that fails requests, when the replica limit leaves no room for
   /// a replacement next to it.
   void unloadFailing(const Servable& servable) {
-    for (const base::ReplicaId id : input_.ledger.of(servable)) {
+    for (const base::ReplicaId id : input_.ledger.ofServable(servable)) {
       const Replica& replica = *input_.ledger.find(id);
-      if (input_.serves(replica) && input_.monitor.failing(replica.engine)) {
+      if (input_.serves(replica) && input_.monitor.isFailing(replica.engine)) {
         unloadWithAdapters(replica);
         return;
       }
@@ -315,9 +316,9 @@
   }
 
   /// Unloads the serving replicas in excess of `keep`, those with the fewest requests first.
-  void unloadExtra(const Servable& servable, std::uint32_t keep) {
+  void unloadExcess(const Servable& servable, std::uint32_t keep) {
     std::vector<std::pair<std::uint32_t, base::ReplicaId>> serving;
-    for (const base::ReplicaId id : input_.ledger.of(servable)) {
+    for (const base::ReplicaId id : input_.ledger.ofServable(servable)) {
       const Replica& replica = *input_.ledger.find(id);
       if (input_.serves(replica)) {
         serving.emplace_back(activeRequests(replica), id);
@@ -345,7 +346,7 @@
 
   /// Plans replicas that no target of the model covers: other versions, deleted resources, idle
   /// adapters that no router reports, and all replicas on engines that take no work.
-  void planHeld(const std::string& model) {
+  void planPresentReplicas(const std::string& model) {
     const auto& servables = input_.ledger.servables();
     for (auto entry = servables.lower_bound(Servable{model, "", ""});
          entry != servables.end() && entry->first.model == model; ++entry) {
@@ -358,10 +359,10 @@
       }
       for (const base::ReplicaId id : ids) {
         const Replica& replica = *input_.ledger.find(id);
-        const bool kept =
-            !outdated || input_.formerVersionWanted(servable) || awaitsSuccessor(servable, replica);
-        const bool useless = !input_.takesWork(replica.engine) || !kept;
-        if (useless && replica.state != ReplicaState::unloading) {
+        const bool kept = !outdated || input_.hasPreviousVersionDemand(servable) ||
+                          awaitsSuccessor(servable, replica);
+        const bool shouldUnload = !input_.takesWork(replica.engine) || !kept;
+        if (shouldUnload && replica.state != ReplicaState::unloading) {
           unloadWithAdapters(replica);
         }
       }
@@ -370,8 +371,8 @@
 
   void planIdleAdapter(const Servable& servable) {
     const auto* model = input_.state.findModel(servable.model);
-    if (input_.settled && !held(targetOf(servable), *model)) {
-      unloadExtra(servable, 0);
+    if (input_.routersReported && !isHeld(targetOf(servable), *model)) {
+      unloadExcess(servable, 0);
     }
   }
 
@@ -395,11 +396,11 @@
         model->activeVersion == servable.version || replica.state != ReplicaState::ready) {
       return false;
     }
-    if (!held({servable.model, "", ""}, *model)) {
+    if (!isHeld({servable.model, "", ""}, *model)) {
       return false;
     }
     for (const base::ReplicaId id :
-         input_.ledger.of(Servable{servable.model, model->activeVersion, ""})) {
+         input_.ledger.ofServable(Servable{servable.model, model->activeVersion, ""})) {
       const Replica& successor = *input_.ledger.find(id);
       if (successor.state == ReplicaState::ready && input_.serves(successor)) {
         return false;
@@ -410,7 +411,8 @@
 
   void unloadWithAdapters(const Replica& replica) {
     if (replica.servable.adapter.empty()) {
-      for (const base::ReplicaId id : input_.ledger.at({replica.engine, replica.accelerator})) {
+      for (const base::ReplicaId id :
+           input_.ledger.onAccelerator({replica.engine, replica.accelerator})) {
         const Replica& other = *input_.ledger.find(id);
         const bool over =
             !other.servable.adapter.empty() && baseOf(other.servable) == replica.servable;
--- a/src/control/target_planner.h
+++ b/src/control/target_planner.h
@@ -16,7 +16,7 @@
 /// Reason why a replica is needed, most urgent first.
 /// `ahead`: no request waits yet; the load may use only free memory and spare bandwidth of the
 /// store.
-enum class Urgency : std::uint8_t { interactive = 0, batch = 1, standby = 2, ahead = 3 };
+enum class Urgency : std::uint8_t { interactive = 0, batch = 1, standby = 2, preload = 3 };
 
 /// Number of replicas that a servable lacks, with what is needed to place them.
 struct ReplicaNeed {
@@ -31,7 +31,7 @@
   Urgency urgency = Urgency::standby;
   base::TimePoint deadline = base::kNever;  ///< Earliest deadline of the waiting requests.
   /// True for a previous version that open streams must continue with.
-  bool formerVersion = false;
+  bool previousVersion = false;
 };
 
 /// Result of a planning run, in a deterministic order.
--- a/src/control/usage_tracker.cpp
+++ b/src/control/usage_tracker.cpp
@@ -4,20 +4,20 @@
 
 namespace walnut::control {
 
-void UsageTracker::used(base::TimePoint at, const DemandTarget& target) {
-  const auto [entry, first] = lastUse_.try_emplace(target, since_);
+void UsageTracker::recordUse(base::TimePoint at, const DemandTarget& target) {
+  const auto [entry, first] = lastUse_.try_emplace(target, startedAt_);
   base::TimePoint& last = entry->second;
   if (!first && at > last) {
     recordGap(target, at - last);
   }
   last = std::max(last, at);
   if (!target.adapter.empty()) {
-    used(at, {target.model, ""});
+    recordUse(at, {target.model, ""});
   }
 }
 
 void UsageTracker::recordGap(const DemandTarget& target, base::Duration gap) {
-  if (std::chrono::duration<double>(gap).count() < IdleGapHistogram::kShortest) {
+  if (std::chrono::duration<double>(gap).count() < IdleGapHistogram::kShortestSeconds) {
     return;
   }
   gaps_[target].record(gap);
@@ -37,19 +37,19 @@
   });
 }
 
-void UsageTracker::fullyUsed(base::TimePoint at, const resource::Servable& servable) {
-  base::TimePoint& last = lastFullUse_.try_emplace(servable, since_).first->second;
+void UsageTracker::recordFullUse(base::TimePoint at, const resource::Servable& servable) {
+  base::TimePoint& last = lastFullUse_.try_emplace(servable, startedAt_).first->second;
   last = std::max(last, at);
 }
 
 base::TimePoint UsageTracker::lastUse(const DemandTarget& target) const {
   const auto found = lastUse_.find(target);
-  return found == lastUse_.end() ? since_ : found->second;
+  return found == lastUse_.end() ? startedAt_ : found->second;
 }
 
 base::TimePoint UsageTracker::lastFullUse(const resource::Servable& servable) const {
   const auto found = lastFullUse_.find(servable);
-  return found == lastFullUse_.end() ? since_ : found->second;
+  return found == lastFullUse_.end() ? startedAt_ : found->second;
 }
 
 }  // namespace walnut::control
--- a/src/control/usage_tracker.h
+++ b/src/control/usage_tracker.h
@@ -20,13 +20,13 @@
 /// that a new leader unloads nothing early.
 class UsageTracker {
  public:
-  explicit UsageTracker(base::TimePoint since) : since_(since) {}
+  explicit UsageTracker(base::TimePoint since) : startedAt_(since) {}
 
   /// Records that the target had demand or that one of its replicas ran requests. Use of an adapter
   /// is also use of its model.
-  void used(base::TimePoint at, const DemandTarget& target);
+  void recordUse(base::TimePoint at, const DemandTarget& target);
   /// Records that all present replicas of the servable were needed.
-  void fullyUsed(base::TimePoint at, const resource::Servable& servable);
+  void recordFullUse(base::TimePoint at, const resource::Servable& servable);
 
   /// @return the idle gaps of the target, or null if it was not used twice.
   const IdleGapHistogram* gapsOf(const DemandTarget& target) const;
@@ -43,11 +43,11 @@
 
   /// Weight limit for the gaps of all targets together; high enough that some hundred rarely used
   /// targets count.
-  static constexpr double kAllLimit = 4096;
+  static constexpr double kAllGapsWeightLimit = 4096;
 
-  base::TimePoint since_;
+  base::TimePoint startedAt_;
   std::map<DemandTarget, IdleGapHistogram> gaps_;
-  IdleGapHistogram allGaps_{kAllLimit};
+  IdleGapHistogram allGaps_{kAllGapsWeightLimit};
   std::map<DemandTarget, base::TimePoint> lastUse_;
   std::map<resource::Servable, base::TimePoint> lastFullUse_;
 };
--- a/src/control/watch_sessions.cpp
+++ b/src/control/watch_sessions.cpp
@@ -11,9 +11,9 @@
 constexpr std::uint32_t kPagesPerPush = 4;
 /// Interval between deltas that only report a higher index, as claims cause it. It is half of the
 /// interval at which routers ask for the end of the log, and far below the freshness limit.
-constexpr base::Duration kIndexInterval = std::chrono::milliseconds(250);
+constexpr base::Duration kIndexOnlyInterval = std::chrono::milliseconds(250);
 /// Time for which a capture of the whole state is shared by routers that request it.
-constexpr base::Duration kCaptureShared = std::chrono::milliseconds(200);
+constexpr base::Duration kCaptureLifetime = std::chrono::milliseconds(200);
 }  // namespace
 
 void WatchSessions::request(base::TimePoint now, protocol::ConnectionId connection,
@@ -37,9 +37,9 @@
   }
 }
 
-void WatchSessions::indexMoved(base::TimePoint now) {
+void WatchSessions::indexAdvanced(base::TimePoint now) {
   if (!sessions_.empty()) {
-    schedule(now + kIndexInterval);
+    schedule(now + kIndexOnlyInterval);
   }
 }
 
@@ -48,11 +48,11 @@
     return session.sentAt + options_.watchPushInterval;
   }
   const bool behind = session.sentIndex < state_.appliedIndex();
-  return session.sentAt + (behind ? kIndexInterval : options_.watchHeartbeatInterval);
+  return session.sentAt + (behind ? kIndexOnlyInterval : options_.watchHeartbeatInterval);
 }
 
 void WatchSessions::tick(base::TimePoint now) {
-  if (capture_ && now >= capture_->takenAt + kCaptureShared) {
+  if (capture_ && now >= capture_->takenAt + kCaptureLifetime) {
     capture_.reset();  // Sessions that page through it hold their own reference.
   }
   if (now < nextPushAt_) {
@@ -104,8 +104,8 @@
 }
 
 void WatchSessions::beginPaging(base::TimePoint now, Session& session) {
-  const bool shared =
-      capture_ && now < capture_->takenAt + kCaptureShared && capture_->index >= session.sentIndex;
+  const bool shared = capture_ && now < capture_->takenAt + kCaptureLifetime &&
+                      capture_->index >= session.sentIndex;
   if (!shared) {
     capture_ =
         std::make_shared<const Capture>(Capture{state_.appliedIndex(), now, state_.wholeState()});
--- a/src/control/watch_sessions.h
+++ b/src/control/watch_sessions.h
@@ -30,7 +30,7 @@
   /// Schedules deltas after entries that changed the watched state.
   void stateChanged(base::TimePoint now);
   /// Schedules deltas after entries that only raised the index.
-  void indexMoved(base::TimePoint now);
+  void indexAdvanced(base::TimePoint now);
   void tick(base::TimePoint now);
   base::TimePoint nextWakeup() const { return nextPushAt_; }
 
--- a/test/control/cell_placement_test.cpp
+++ b/test/control/cell_placement_test.cpp
@@ -280,6 +280,6 @@
 
 TEST(CellPlacement, aFormerVersionIsPlacedOnlyWhenItIsAskedForAsOne) {
   PlaceReplica placement = placementOf({"m", "v2", ""}, "e1");
-  placement.formerVersion = true;
+  placement.previousVersion = true;
   CHECK_FALSE(cell.apply(placement).refusal.has_value());
 }
--- a/test/control/crash_cover_test.cpp
+++ b/test/control/crash_cover_test.cpp
@@ -20,35 +20,35 @@
 
 TEST(CrashCoverTest, whatWasAloneAtACrashIsNeeded) {
   CrashCover cover({at({0, 1, 2}), at({0, 1})});
-  CHECK_TRUE(cover.needs(at({0, 1, 2})));
-  CHECK_FALSE(cover.needs(at({0, 1})));
+  CHECK_TRUE(cover.isNecessary(at({0, 1, 2})));
+  CHECK_FALSE(cover.isNecessary(at({0, 1})));
 }
 
 TEST(CrashCoverTest, oneCauseIsLikelierThanTwo) {
   CrashCover cover({at({0, 1, 2}), at({0, 1}), at({1, 2})});
-  CHECK_TRUE(cover.needs(at({0, 1, 2})));
-  CHECK_FALSE(cover.needs(at({1, 2})));
+  CHECK_TRUE(cover.isNecessary(at({0, 1, 2})));
+  CHECK_FALSE(cover.isNecessary(at({1, 2})));
 }
 
 TEST(CrashCoverTest, whatWasBesideSeveralCausesIsNotNeededThoughItHasTheMostCrashes) {
   CrashCover cover({at({0, 1, 2, 3}), at({0, 4}), at({1, 2, 5}), at({3, 6})});
-  CHECK_FALSE(cover.needs(at({0, 1, 2, 3})));
-  CHECK_TRUE(cover.needs(at({0, 4})));
-  CHECK_TRUE(cover.needs(at({1, 2, 5})));
+  CHECK_FALSE(cover.isNecessary(at({0, 1, 2, 3})));
+  CHECK_TRUE(cover.isNecessary(at({0, 4})));
+  CHECK_TRUE(cover.isNecessary(at({1, 2, 5})));
 }
 
 TEST(CrashCoverTest, ofTwoExplanationsWithAsManyCausesNeitherIsNeeded) {
   CrashCover cover({at({0, 1, 2}), at({0, 1, 3}), at({2, 3}), at({0, 2, 3})});
-  CHECK_FALSE(cover.needs(at({0, 1, 2})));
-  CHECK_FALSE(cover.needs(at({0, 2, 3})));
+  CHECK_FALSE(cover.isNecessary(at({0, 1, 2})));
+  CHECK_FALSE(cover.isNecessary(at({0, 2, 3})));
 }
 
 TEST(CrashCoverTest, ofTwoWithTheSameCrashesNeitherIsNeeded) {
   CrashCover cover({at({0, 1, 2}), at({0, 1, 2})});
-  CHECK_FALSE(cover.needs(at({0, 1, 2})));
+  CHECK_FALSE(cover.isNecessary(at({0, 1, 2})));
 }
 
 TEST(CrashCoverTest, crashesElsewhereDoNotMatter) {
   CrashCover cover({at({0, 1, 2}), at({0, 1}), at({1, 2}), at({10, 11}), at({11, 12})});
-  CHECK_TRUE(cover.needs(at({0, 1, 2})));
+  CHECK_TRUE(cover.isNecessary(at({0, 1, 2})));
 }
--- a/test/control/crash_ledger_test.cpp
+++ b/test/control/crash_ledger_test.cpp
@@ -129,7 +129,7 @@
 
 /// At most few of them are causes: the next crashes tell.
 TEST(CrashLedgerTest, aCrowdWithTheSameCrashesGoesOnUntilTheLastLimit) {
-  for (std::size_t crash = 1; crash < control::crash::kLastLimit; ++crash) {
+  for (std::size_t crash = 1; crash < control::crash::kUnexplainedCrashLimit; ++crash) {
     add("w" + std::to_string(crash), {"one", "two", "three"});
     checkGuilty({});
   }
@@ -208,10 +208,10 @@
 TEST(CrashLedgerTest, ofTooManySuspectsThoseWithTheFewestCrashesGoFirst) {
   add("w1", {"r"});
   add("w2", {"r"});
-  for (std::size_t number = 0; number < 2 * control::crash::kMostSuspects; ++number) {
+  for (std::size_t number = 0; number < 2 * control::crash::kMaxSuspects; ++number) {
     add("w3", {"other" + std::to_string(number)});
   }
-  CHECK_EQUAL(control::crash::kMostSuspects, ledger.evidence().size());
+  CHECK_EQUAL(control::crash::kMaxSuspects, ledger.evidence().size());
   CHECK(ledger.has("r", "w1"));
   CHECK_EQUAL(0, ledger.evidence().count("other0"));
 }
--- a/test/control/demand_table_test.cpp
+++ b/test/control/demand_table_test.cpp
@@ -34,8 +34,8 @@
 TEST_GROUP(DemandTable) {
   DemandTable table{kLifetime};
 
-  bool take(std::int64_t second, const protocol::DemandReport& report) {
-    table.take(atSecond(second), report);
+  bool applyReport(std::int64_t second, const protocol::DemandReport& report) {
+    table.applyReport(atSecond(second), report);
     return !table.takeChangedModels().empty();
   }
   bool expire(std::int64_t second) {
@@ -49,32 +49,32 @@
 };
 
 TEST(DemandTable, addsUpRoutersAndTakesTheEarliestDeadline) {
-  CHECK_TRUE(take(1, reportOf(1, 1, false, 2)));
-  CHECK_TRUE(take(1, reportOf(2, 1, false, 3)));
+  CHECK_TRUE(applyReport(1, reportOf(1, 1, false, 2)));
+  CHECK_TRUE(applyReport(1, reportOf(2, 1, false, 3)));
   CHECK_EQUAL(5, waiting());
   CHECK_TRUE(table.totals().at(kTarget).earliestDeadline == atSecond(101));
 }
 
 TEST(DemandTable, resentAndOvertakenReportsAddNothing) {
-  take(1, reportOf(1, 2, false, 2));
-  CHECK_FALSE(take(2, reportOf(1, 2, false, 2)));
-  CHECK_FALSE(take(2, reportOf(1, 1, false, 9)));
-  CHECK_FALSE(take(2, reportOf(1, 3, false, 2)));  // The same state again.
+  applyReport(1, reportOf(1, 2, false, 2));
+  CHECK_FALSE(applyReport(2, reportOf(1, 2, false, 2)));
+  CHECK_FALSE(applyReport(2, reportOf(1, 1, false, 9)));
+  CHECK_FALSE(applyReport(2, reportOf(1, 3, false, 2)));  // The same state again.
   CHECK_EQUAL(2, waiting());
 }
 
 TEST(DemandTable, aCompleteReportReplacesAllOfTheRouter) {
-  take(1, reportOf(1, 1, false, 2));
-  take(1, reportOf(2, 1, false, 1));
-  CHECK_FALSE(take(2, reportOf(1, 2, false, 0)));  // Partial: nothing listed.
+  applyReport(1, reportOf(1, 1, false, 2));
+  applyReport(1, reportOf(2, 1, false, 1));
+  CHECK_FALSE(applyReport(2, reportOf(1, 2, false, 0)));  // Partial: nothing listed.
   CHECK_EQUAL(3, waiting());
-  CHECK_TRUE(take(2, reportOf(1, 3, true, 0)));
+  CHECK_TRUE(applyReport(2, reportOf(1, 3, true, 0)));
   CHECK_EQUAL(1, waiting());
 }
 
 TEST(DemandTable, entriesOfASilentRouterLapse) {
-  take(1, reportOf(1, 1, false, 2));
-  take(4, reportOf(2, 1, false, 1));
+  applyReport(1, reportOf(1, 1, false, 2));
+  applyReport(4, reportOf(2, 1, false, 1));
   CHECK_TRUE(table.nextExpiry() == atSecond(6));
   CHECK_FALSE(expire(5));
   CHECK_TRUE(expire(6));
@@ -84,11 +84,11 @@
 TEST(DemandTable, aFormerVersionCountsApartAndGoesWhenNoStreamWaitsForIt) {
   protocol::DemandReport report = reportOf(1, 1, false, 2);
   report.entries[0].version = "v0";
-  CHECK_TRUE(take(1, report));
+  CHECK_TRUE(applyReport(1, report));
   CHECK_EQUAL(0U, table.totals().count(kTarget));
   CHECK_EQUAL(2U, table.totals().at({"m", "", "v0"}).waiting());
   report.sequence = 2;
   report.entries[0].waitingInteractive = 0;
-  CHECK_TRUE(take(2, report));
+  CHECK_TRUE(applyReport(2, report));
   CHECK_TRUE(table.totals().empty());
 }
--- a/test/control/engine_monitor_test.cpp
+++ b/test/control/engine_monitor_test.cpp
@@ -46,11 +46,11 @@
 }
 
 TEST(EngineMonitor, ordersOnlyAfterAReportOfThisTerm) {
-  CHECK_FALSE(monitor.mayOrder(kEngine));
+  CHECK_FALSE(monitor.canSendOrder(kEngine));
   monitor.tick(atSecond(1), true);
-  CHECK_FALSE(monitor.mayOrder(kEngine));
+  CHECK_FALSE(monitor.canSendOrder(kEngine));
   finish(1, engine::CallResult(engine::Report{}));
-  CHECK_TRUE(monitor.mayOrder(kEngine));
+  CHECK_TRUE(monitor.canSendOrder(kEngine));
 }
 
 TEST(EngineMonitor, oneCallAtATimeUnderGrowingTokens) {
@@ -58,7 +58,7 @@
   const engine::FencingToken polled = lastToken();
   const engine::FencingToken ordered = monitor.sendOrder(atSecond(2), kEngine, engine::Order{});
   CHECK_TRUE(ordered > polled);
-  CHECK_FALSE(monitor.mayOrder(kEngine));
+  CHECK_FALSE(monitor.canSendOrder(kEngine));
   monitor.tick(atSecond(9), true);
   CHECK_EQUAL(2, actions.size());
   finish(9, engine::CallResult(base::Error{base::ErrorCode::timedOut, "", ""}));
@@ -70,9 +70,9 @@
   report(1);
   monitor.sendOrder(atSecond(2), kEngine, engine::Order{});
   finish(2, engine::CallResult(base::Error{base::ErrorCode::staleOrder, "", ""}));
-  CHECK_FALSE(monitor.mayOrder(kEngine));
+  CHECK_FALSE(monitor.canSendOrder(kEngine));
   report(3);
-  CHECK_FALSE(monitor.mayOrder(kEngine));
+  CHECK_FALSE(monitor.canSendOrder(kEngine));
 }
 
 TEST(EngineMonitor, ignoresTheAnswerOfAFormerEndpoint) {
@@ -97,7 +97,7 @@
 TEST(EngineMonitor, noOrderToAnotherEndpointBeforeItsReport) {
   report(1);
   monitor.track(atSecond(2), kEngine, {"127.0.0.1", 9001});
-  CHECK_FALSE(monitor.mayOrder(kEngine));
+  CHECK_FALSE(monitor.canSendOrder(kEngine));
 }
 
 TEST(EngineMonitor, pollsAnEmptyEngineLessOften) {
@@ -106,10 +106,10 @@
 }
 
 TEST(EngineMonitor, anEngineIsResponsiveForAWhile) {
-  CHECK_FALSE(monitor.responsive(atSecond(1), kEngine));
+  CHECK_FALSE(monitor.isResponsive(atSecond(1), kEngine));
   report(1);
-  CHECK_TRUE(monitor.responsive(atSecond(3), kEngine));
-  CHECK_FALSE(monitor.responsive(atSecond(4), kEngine));
+  CHECK_TRUE(monitor.isResponsive(atSecond(3), kEngine));
+  CHECK_FALSE(monitor.isResponsive(atSecond(4), kEngine));
 }
 
 TEST(EngineMonitor, theNearestTierCounts) {
@@ -117,6 +117,6 @@
   engine::Report cached;
   cached.cached = {{"w", engine::CacheTier::localDisk}, {"w", engine::CacheTier::hostMemory}};
   finish(1, engine::CallResult(cached));
-  CHECK_TRUE(monitor.cachedAt(kEngine, "w") == engine::CacheTier::hostMemory);
-  CHECK_FALSE(monitor.cachedAt(kEngine, "other").has_value());
+  CHECK_TRUE(monitor.nearestCacheTier(kEngine, "w") == engine::CacheTier::hostMemory);
+  CHECK_FALSE(monitor.nearestCacheTier(kEngine, "other").has_value());
 }
--- a/test/control/engine_registration_test.cpp
+++ b/test/control/engine_registration_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace walnut;
 using control::EngineSources;
-using control::wantedRecord;
+using control::expectedRecord;
 using resource::EngineStatus;
 
 namespace {
@@ -57,27 +57,27 @@
     sources.machine = listed ? &machine : nullptr;
     sources.report = one.engine == Word::unknown ? nullptr : &report;
     sources.hasList = one.platform != Word::unknown;
-    const auto wanted = wantedRecord(sources);
-    CHECK_EQUAL(one.before != one.expected, wanted.has_value());
-    CHECK_TRUE(!wanted || wanted->status == one.expected);
+    const auto expected = expectedRecord(sources);
+    CHECK_EQUAL(one.before != one.expected, expected.has_value());
+    CHECK_TRUE(!expected || expected->status == one.expected);
   }
 }
 
 TEST(EngineRegistration, aReclaimedMachineIsLeaving) {
   machine.reclaimAt = control::atSecond(60);
-  const auto wanted = wantedRecord({&record, &machine, &report, true});
-  CHECK_TRUE(wanted && wanted->status == EngineStatus::leaving);
-  CHECK_TRUE(wanted->reclaimAt == control::atSecond(60));
+  const auto expected = expectedRecord({&record, &machine, &report, true});
+  CHECK_TRUE(expected && expected->status == EngineStatus::leaving);
+  CHECK_TRUE(expected->reclaimAt == control::atSecond(60));
 }
 
 TEST(EngineRegistration, anotherIncarnationIsRegistered) {
   report.incarnation = base::Incarnation{99};
-  const auto wanted = wantedRecord({&record, &machine, &report, true});
-  CHECK_TRUE(wanted && wanted->incarnation == base::Incarnation{99});
+  const auto expected = expectedRecord({&record, &machine, &report, true});
+  CHECK_TRUE(expected && expected->incarnation == base::Incarnation{99});
 }
 
 TEST(EngineRegistration, aListedMachineIsRegisteredBeforeItsFirstReport) {
-  const auto wanted = wantedRecord({nullptr, &machine, nullptr, true});
-  CHECK_TRUE(wanted && wanted->incarnation == base::Incarnation{});
-  CHECK_FALSE(wantedRecord({nullptr, nullptr, &report, true}).has_value());
+  const auto expected = expectedRecord({nullptr, &machine, nullptr, true});
+  CHECK_TRUE(expected && expected->incarnation == base::Incarnation{});
+  CHECK_FALSE(expectedRecord({nullptr, nullptr, &report, true}).has_value());
 }
--- a/test/control/keep_alive_policy_test.cpp
+++ b/test/control/keep_alive_policy_test.cpp
@@ -60,7 +60,7 @@
     const KeepAliveSubject subject{nullptr, all, 0.5, seconds(5)};
     const HoldPlan plan = control::makeKeepAlivePolicy(budget)->plan(subject);
     CHECK_EQUAL(one.held, plan.holdsAt(seconds(one.idleFor)));
-    CHECK_FALSE(plan.wakesAt(seconds(one.idleFor)));
+    CHECK_FALSE(plan.preloadsAt(seconds(one.idleFor)));
   }
 }
 
@@ -70,8 +70,8 @@
   const KeepAliveSubject subject{nullptr, all, 0.5, seconds(5)};
   const HoldPlan plan = control::makeKeepAlivePolicy(budget)->plan(subject);
   CHECK_TRUE(plan.holdsAt(seconds(1e7)));
-  CHECK_TRUE(plan.wakesAt(seconds(0)));
-  CHECK_TRUE(plan.wakesAt(seconds(1e7)));
+  CHECK_TRUE(plan.preloadsAt(seconds(0)));
+  CHECK_TRUE(plan.preloadsAt(seconds(1e7)));
 }
 
 /// Gaps seen, price, idle time, and whether it is held then.
@@ -101,10 +101,10 @@
 TEST(KeepAlivePolicy, ARegularUseIsLoadedAheadAndNotHeldUntilThen) {
   const HoldPlan plan = planOf(histogramOf({10000}), 400);
   CHECK_FALSE(plan.holdsAt(seconds(1000)));
-  CHECK_FALSE(plan.wakesAt(seconds(5000)));
-  CHECK_TRUE(plan.wakesAt(seconds(9990)));
+  CHECK_FALSE(plan.preloadsAt(seconds(5000)));
+  CHECK_TRUE(plan.preloadsAt(seconds(9990)));
   CHECK_TRUE(plan.holdsAt(seconds(9990)));
-  CHECK_FALSE(plan.wakesAt(seconds(20000)));
+  CHECK_FALSE(plan.preloadsAt(seconds(20000)));
 }
 
 TEST(KeepAlivePolicy, AHigherPriceNeverHoldsShorter) {
--- a/test/control/peer_directory_test.cpp
+++ b/test/control/peer_directory_test.cpp
@@ -52,7 +52,7 @@
   for (const std::uint64_t number : {1U, 2U}) {
     peers.opened(protocol::ConnectionId{number},
                  helloOf(protocol::PeerRole::controller, kServer.value));
-    peers.heard(protocol::ConnectionId{number}, kServer);
+    peers.recordContact(protocol::ConnectionId{number}, kServer);
   }
   CHECK_EQUAL(2, connectionOf(peers.sendTo(kServer, protocol::ProbeReply{})).value);
   peers.closed(protocol::ConnectionId{2});
@@ -61,10 +61,10 @@
 
 TEST(PeerDirectory, prefersTheEndpointOnceItIsKnown) {
   peers.opened(protocol::ConnectionId{1}, helloOf(protocol::PeerRole::controller, kServer.value));
-  peers.heard(protocol::ConnectionId{1}, kServer);
+  peers.recordContact(protocol::ConnectionId{1}, kServer);
   consensus::Membership membership;
   membership.members.push_back({kServer, consensus::MemberRole::voter, {"10.0.0.7", 7000}, {}, {}});
-  peers.learn(membership);
+  peers.updateEndpoints(membership);
   const auto action = peers.sendTo(kServer, protocol::ProbeReply{});
   CHECK(action.has_value());
   const auto* send = std::get_if<control::SendToServer>(&*action);
--- a/test/control/placement_policy_test.cpp
+++ b/test/control/placement_policy_test.cpp
@@ -157,7 +157,7 @@
 TEST(PlacementPolicy, evictsNothingBeforeAllRoutersCouldReport) {
   fill({kNow - 30, kNow - 50, kNow - 40, kNow - 40}, {"", "", "", ""});
   demand[{"m", ""}] = waiting(1);
-  settled = false;
+  routersReported = false;
   CHECK_EQUAL(0, decide().size());
 }
 
@@ -172,8 +172,8 @@
     addBudget("b", one.weight);
     const auto servable = addModel("idle", 10, "b");
     const base::ReplicaId id = hold(servable, "e1", 0, 10);
-    usage.used(atSecond(second), {"idle", ""});
-    usage.fullyUsed(atSecond(second), servable);
+    usage.recordUse(atSecond(second), {"idle", ""});
+    usage.recordFullUse(atSecond(second), servable);
     second += one.idleSeconds;
     const auto decisions = decide();
     CHECK_EQUAL(one.unloaded ? 1 : 0, unloads(decisions));
@@ -208,7 +208,7 @@
 
 TEST(PlacementPolicy, aDrainedReplicaInUseIsReplacedIfTheLimitAllows) {
   hold(kModel, "e1", 0, control::kModelBytes);
-  usage.used(atSecond(kNow - 5), {"m", ""});
+  usage.recordUse(atSecond(kNow - 5), {"m", ""});
   cell.put(control::declare(resource::Kind::drain, "e1", resource::DrainSpec{}));
   const auto decisions = decide();
   CHECK_EQUAL(1, places(decisions));
@@ -217,7 +217,7 @@
 
 TEST(PlacementPolicy, aFormerVersionStaysUntilTheNewOneIsReady) {
   const base::ReplicaId former = hold(kModel, "e1", 0, control::kModelBytes);
-  usage.used(atSecond(kNow - 5), {"m", ""});
+  usage.recordUse(atSecond(kNow - 5), {"m", ""});
   cell.put(control::declare(resource::Kind::model, "m", control::modelSpec("v2")));
   const auto decisions = decide();
   CHECK_EQUAL(1, places(decisions));
@@ -239,8 +239,8 @@
   const auto idle = addModel("idle", 60, "b");
   addModel("wanted", 60, "b");
   const base::ReplicaId id = hold(idle, "e1", 0, 60);
-  usage.used(atSecond(kNow - 10), {"idle", ""});
-  usage.fullyUsed(atSecond(kNow), idle);
+  usage.recordUse(atSecond(kNow - 10), {"idle", ""});
+  usage.recordFullUse(atSecond(kNow), idle);
   demand[{"wanted", ""}] = waiting(1);
   CHECK_TRUE(unloadsOnly(decide(), id));
 }
@@ -314,7 +314,7 @@
   CHECK_EQUAL(1, places(decisions));
   const auto& placement = std::get<control::PlaceReplica>(decisions.front());
   CHECK_TRUE(placement.servable == kModel);
-  CHECK_TRUE(placement.formerVersion);
+  CHECK_TRUE(placement.previousVersion);
   cell.apply(control::MarkReplicaReady{base::ReplicaId{cell.index}});
   CHECK_EQUAL(0, decide().size());  // Neither a second one, nor is it outdated.
   demand.clear();
--- a/test/control/placement_test.h
+++ b/test/control/placement_test.h
@@ -44,7 +44,7 @@
   std::set<AcceleratorPlace> unledgered;
   ReplicaIds changing;
   std::int64_t second = kNow;
-  bool settled = true;
+  bool routersReported = true;
 
   void setup() override {
     cell.declareAll();
@@ -81,8 +81,8 @@
   /// One run over all models; the decisions are applied.
   std::vector<CommandBody> decide() {
     ledger.rebuild(cell.state);
-    const PlacementInput input{atSecond(second), cell.state, ledger, monitor, demand, usage,
-                               unledgered,       changing,   settled};
+    const PlacementInput input{atSecond(second), cell.state, ledger,         monitor, demand, usage,
+                               unledgered,       changing,   routersReported};
     std::vector<CommandBody> decisions = policy.decide(input, allModels(), usage);
     for (const CommandBody& decision : decisions) {
       const auto applied = cell.apply(decision);
@@ -135,8 +135,8 @@
       const std::string name = "x" + std::to_string(number);
       const auto servable = addModel(name, 90, budgets[number]);
       ids.push_back(hold(servable, number < 2 ? "e1" : "e2", number % 2, 90));
-      usage.used(atSecond(usedAt[number]), {name, ""});
-      usage.fullyUsed(atSecond(usedAt[number]), servable);
+      usage.recordUse(atSecond(usedAt[number]), {name, ""});
+      usage.recordFullUse(atSecond(usedAt[number]), servable);
     }
     return ids;
   }
--- a/test/control/platform_watcher_test.cpp
+++ b/test/control/platform_watcher_test.cpp
@@ -57,10 +57,10 @@
   read(10, listOf(8, {"a", "b"}));
   read(11, listOf(9, {"a"}));
   read(40, listOf(18, {"a"}));  // Late, but of a date less than ten seconds after.
-  CHECK_TRUE(watcher.gone().empty());
+  CHECK_TRUE(watcher.goneMachines().empty());
   read(41, listOf(19, {"a"}));
-  CHECK_EQUAL(1, watcher.gone().size());
-  STRCMP_EQUAL("b", watcher.gone().front().value.c_str());
+  CHECK_EQUAL(1, watcher.goneMachines().size());
+  STRCMP_EQUAL("b", watcher.goneMachines().front().value.c_str());
 }
 
 TEST(PlatformWatcher, aMachineThatComesBackIsNotGone) {
@@ -68,7 +68,7 @@
   read(15, listOf(14, {"a", "b"}));
   read(16, listOf(15, {"a"}));
   read(25, listOf(24, {"a"}));
-  CHECK_TRUE(watcher.gone().empty());
+  CHECK_TRUE(watcher.goneMachines().empty());
 }
 
 TEST(PlatformWatcher, knowsAnEndpointThatAnotherMachineHas) {
--- a/test/control/store_budget_test.cpp
+++ b/test/control/store_budget_test.cpp
@@ -98,8 +98,8 @@
   addBudget("b", 0);
   const auto servable = addModel("idle", 10, "b");
   hold(servable, "e1", 0, 10);
-  usage.used(atSecond(kNow), {"idle", ""});
-  usage.fullyUsed(atSecond(kNow), servable);
+  usage.recordUse(atSecond(kNow), {"idle", ""});
+  usage.recordFullUse(atSecond(kNow), servable);
   CHECK_EQUAL(0U, decide().size());
   CHECK_TRUE(policy.nextWakeup() == atSecond(kNow + 60));
 }
--- a/test/control/usage_tracker_test.cpp
+++ b/test/control/usage_tracker_test.cpp
@@ -16,11 +16,11 @@
 
 TEST(IdleGaps, AGapIsBetweenTwoUsesAndAnAdaptersUseIsOneOfItsModel) {
   control::UsageTracker usage(atSecond(0));
-  usage.used(atSecond(100), {"m", ""});
+  usage.recordUse(atSecond(100), {"m", ""});
   POINTERS_EQUAL(nullptr, usage.gapsOf({"m", ""}));  // Nothing is known from before.
-  usage.used(atSecond(160), {"m", "a"});
-  usage.used(atSecond(160), {"m", ""});
-  usage.used(atSecond(150), {"m", ""});  // A late report of an earlier use.
+  usage.recordUse(atSecond(160), {"m", "a"});
+  usage.recordUse(atSecond(160), {"m", ""});
+  usage.recordUse(atSecond(150), {"m", ""});  // A late report of an earlier use.
   DOUBLES_EQUAL(1, usage.gapsOf({"m", ""})->total(), 0);
   POINTERS_EQUAL(nullptr, usage.gapsOf({"m", "a"}));
   DOUBLES_EQUAL(1, usage.allGaps().total(), 0);
@@ -29,8 +29,8 @@
 TEST(IdleGaps, GoWithWhatIsDeleted) {
   control::UsageTracker usage(atSecond(0));
   for (const double at : {100.0, 200.0}) {
-    usage.used(atSecond(at), {"m", "a"});
-    usage.used(atSecond(at), {"n", ""});
+    usage.recordUse(atSecond(at), {"m", "a"});
+    usage.recordUse(atSecond(at), {"n", ""});
   }
   usage.forgetGaps({resource::Kind::adapter, "a"});
   POINTERS_EQUAL(nullptr, usage.gapsOf({"m", "a"}));
--- a/test/control/watch_sessions_test.cpp
+++ b/test/control/watch_sessions_test.cpp
@@ -92,7 +92,7 @@
   watch(cell.index);
   advance({});
   cell.apply(control::ClaimKeys{{{"key", {"request"}, cell.now}}});
-  sessions.indexMoved(now);
+  sessions.indexAdvanced(now);
   advance(options.watchPushInterval);
   CHECK_EQUAL(1, actions.size());
   advance(options.watchHeartbeatInterval / 2);
