--- a/test/control/cell_test_kit.h
+++ b/test/control/cell_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A small cell for tests of its state: names, specs and commands with their usual values.
+/// Test fixture with a small cell: names, specs and commands with typical values.
 
 #include <string>
 #include <utility>
@@ -10,10 +10,10 @@
 
 namespace walnut::control {
 
-constexpr std::uint64_t kMemory = 100;      ///< Of each accelerator.
-constexpr std::uint64_t kModelBytes = 40;   ///< Of a model version.
-constexpr std::uint64_t kAdapterBytes = 5;  ///< Of an adapter.
-constexpr std::uint32_t kAccelerators = 2;  ///< Of an engine.
+constexpr std::uint64_t kMemory = 100;      ///< Memory of each accelerator.
+constexpr std::uint64_t kModelBytes = 40;   ///< Memory of a model version.
+constexpr std::uint64_t kAdapterBytes = 5;  ///< Memory of an adapter.
+constexpr std::uint32_t kAccelerators = 2;  ///< Number of accelerators of an engine.
 constexpr std::uint64_t kFirstIncarnation = 7;
 
 inline base::TimePoint atSecond(std::int64_t second) {
@@ -56,7 +56,7 @@
   return {std::move(servable), {std::move(engine)}, {kFirstIncarnation}, {accelerator}, bytes};
 }
 
-/// A cell state with its next log index and time.
+/// A cell state together with its last log index and its time.
 class TestCell {
  public:
   explicit TestCell(ControllerOptions options = {}) : state(options) {}
@@ -72,13 +72,14 @@
                      std::optional<resource::Version> expected = std::nullopt) {
     return *apply(DeleteResource{nextRequestId(), expected, {kind, std::move(name)}}).write;
   }
-  /// @return the id of the new replica; zero if it was refused.
+  /// @return the id of the new replica; zero if the placement was refused.
   base::ReplicaId place(const PlaceReplica& placement) {
     return base::ReplicaId{apply(placement).refusal ? 0 : index};
   }
   std::string nextRequestId() { return "request-" + std::to_string(++requests); }
 
-  /// Model `m` with the versions `v1` (active) and `v2`, adapter `a`, engines `e1` and `e2`.
+  /// Declares model `m` with the versions `v1` (active) and `v2`, adapter `a`, and engines `e1` and
+  /// `e2`.
   void declareAll() {
     put(declare(resource::Kind::model, "m", modelSpec("")));
     put(declare(resource::Kind::modelVersion, "v1", versionSpec("m")));
--- a/test/control/cell_placement_test.cpp
+++ b/test/control/cell_placement_test.cpp
@@ -1,8 +1,8 @@
 #include <functional>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -278,7 +278,7 @@
   LONGS_EQUAL(2, cell.state.history().since(cell.index - 1)->size());
 }
 
-TEST(CellPlacement, aFormerVersionIsPlacedOnlyWhenItIsAskedForAsOne) {
+TEST(CellPlacement, aPreviousVersionIsPlacedOnlyIfMarkedAsSuch) {
   PlaceReplica placement = placementOf({"m", "v2", ""}, "e1");
   placement.previousVersion = true;
   CHECK_FALSE(cell.apply(placement).refusal.has_value());
--- a/test/control/cell_property_test.cpp
+++ b/test/control/cell_property_test.cpp
@@ -1,14 +1,14 @@
 /// @file
-/// Random commands: after each one the invariants of CellState hold, sums agree with scans, a
-/// watcher that follows the history sees the state, and a twin that applies the same log or starts
-/// from a snapshot is byte for byte the same.
+/// Property test with random commands. After each command the invariants of CellState hold and the
+/// sums agree with scans; a watcher that follows the history sees the same state, and a twin that
+/// applies the same log or starts from a snapshot is identical byte for byte.
 
 #include <algorithm>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 #include "walnut/base/random.h"
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -20,8 +20,8 @@
 constexpr std::size_t kSeeds = 40;
 constexpr std::size_t kCommands = 1000;
 
-/// What a router or an operator makes of the changes.
-struct Mirror {
+/// State that a router or an operator builds from the changes.
+struct Watcher {
   consensus::LogIndex index = 0;
   consensus::Membership membership;
   std::map<resource::Key, resource::Resource> resources;
@@ -45,7 +45,7 @@
   void follow(const CellState& state) {
     auto changes = state.history().since(index);
     if (!changes) {
-      *this = Mirror{};
+      *this = Watcher{};
       changes = state.wholeState();
     }
     for (const protocol::Change& change : *changes) {
@@ -55,7 +55,7 @@
   }
 };
 
-/// Draws commands over few names, so that they meet.
+/// Draws random commands that use only a few names, so that they affect each other.
 class CommandSource {
  public:
   CommandSource(base::Random& random, const CellState& state) : random_(random), state_(state) {}
@@ -186,7 +186,7 @@
   return bytes;
 }
 
-/// The header's invariants, by scans.
+/// Checks the invariants stated in the header by scanning the replicas.
 void checkInvariants(const CellState& state) {
   std::map<std::pair<base::EngineId, base::AcceleratorIndex>, std::uint64_t> reserved;
   std::map<resource::Servable, std::size_t> counts;
@@ -207,7 +207,7 @@
   }
 }
 
-/// An adapter in use has its model beside it.
+/// Checks that every adapter in use has its model ready on the same accelerator.
 void checkAdapters(const CellState& state) {
   for (const auto& [id, adapter] : state.replicas()) {
     const bool inUse = adapter.state != resource::ReplicaState::unloading;
@@ -225,7 +225,7 @@
   }
 }
 
-/// Limits that hold when a placement was accepted.
+/// Checks the limits that apply to an accepted placement.
 void checkPlaced(const CellState& state, const PlaceReplica& placement) {
   const resource::ModelSpec& model = *state.findModel(placement.servable.model);
   CHECK_TRUE(model.activeVersion == placement.servable.version);
@@ -240,7 +240,7 @@
   CHECK_EQUAL(1, std::count_if(state.replicas().begin(), state.replicas().end(), sameThere));
 }
 
-/// Every name that a resource refers to exists.
+/// Checks that every referenced resource exists.
 void checkReferencesHold(const CellState& state) {
   for (const auto& [key, declared] : state.resources()) {
     if (const auto* model = std::get_if<resource::ModelSpec>(&declared.spec)) {
@@ -261,7 +261,7 @@
   return options;
 }
 
-/// One run of random commands.
+/// One run with random commands.
 class Run {
  public:
   explicit Run(std::uint64_t seed) : random_(seed) {}
@@ -284,7 +284,7 @@
 
  private:
   void step(consensus::LogIndex index, CommandBody body) {
-    // The clock of another leader may be behind.
+    // The clock of another leader may be behind this one.
     const auto change = random_.uniform(0, 1'500'000);
     const base::TimePoint time =
         state_.time() + base::Duration(static_cast<std::int64_t>(change) - 500'000);
@@ -305,17 +305,17 @@
     checkReferencesHold(state_);
     checkAdapters(state_);
     if (random_.chance(0.1)) {
-      mirror_.follow(state_);
-      CHECK_TRUE(mirror_.resources == state_.resources());
-      CHECK_TRUE(mirror_.engines == state_.engines());
-      CHECK_TRUE(mirror_.replicas == state_.replicas());
+      watcher_.follow(state_);
+      CHECK_TRUE(watcher_.resources == state_.resources());
+      CHECK_TRUE(watcher_.engines == state_.engines());
+      CHECK_TRUE(watcher_.replicas == state_.replicas());
     }
     if (random_.chance(0.02)) {
       checkTwin();
     }
   }
 
-  /// Compares, and goes on with a twin that starts from the snapshot.
+  /// Compares the twin and replaces it by one restored from the snapshot.
   void checkTwin() {
     const std::string snapshot = state_.encodeSnapshot();
     CHECK_TRUE(twin_.encodeSnapshot() == snapshot);
@@ -328,7 +328,7 @@
   base::Random random_;
   CellState state_{smallOptions()};
   CellState twin_{smallOptions()};
-  Mirror mirror_;
+  Watcher watcher_;
   std::size_t placed_ = 0;
 };
 
--- a/test/control/cell_snapshot_test.cpp
+++ b/test/control/cell_snapshot_test.cpp
@@ -2,10 +2,10 @@
 #include <functional>
 
 #include "base/archive.h"
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 #include "walnut/base/random.h"
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -75,7 +75,7 @@
   CHECK_TRUE(claims.front() == ClaimOutcome::duplicate);
 }
 
-TEST(CellSnapshot, theTimeOfFoundingIsKept) {
+TEST(CellSnapshot, theFoundingTimeIsKept) {
   TestCell other;
   CHECK_TRUE(other.state.restoreSnapshot(cell.state.encodeSnapshot()).has_value());
   other.index = cell.index;
--- a/test/control/cell_write_test.cpp
+++ b/test/control/cell_write_test.cpp
@@ -1,9 +1,9 @@
 #include <functional>
 #include <limits>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -140,7 +140,7 @@
   CHECK_FALSE(cell.apply(sameWithVersion).write->error.has_value());
 }
 
-TEST(CellWrite, malformedRequestMayBeMendedUnderItsId) {
+TEST(CellWrite, aMalformedRequestMayBeCorrectedUnderItsId) {
   PutResource put{"id", {}, declare(Kind::model, "n", modelSpec(""))};
   std::get<resource::ModelSpec>(put.resource.spec).minReplicas = 3;
   CHECK_TRUE(cell.apply(put).write->error->field == "spec.min_replicas");
--- a/test/control/change_history_test.cpp
+++ b/test/control/change_history_test.cpp
@@ -1,6 +1,6 @@
 #include "control/change_history.h"
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -53,7 +53,7 @@
   LONGS_EQUAL(0, history.since(4)->size());
 }
 
-TEST(ChangeHistoryTest, startsAnew) {
+TEST(ChangeHistoryTest, restartsAtAnIndex) {
   history.record(1, {engineChanged("a")});
   history.startAt(9);
   CHECK_FALSE(history.since(8).has_value());
--- a/test/control/claim_table_test.cpp
+++ b/test/control/claim_table_test.cpp
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -30,7 +30,7 @@
     ClaimKey claim;
     ClaimOutcome outcome;
   };
-  // One after another, on one table.
+  // The cases run one after another on the same table.
   const std::vector<Case> cases = {
       {"first", 1000, claimOf("k", "r1", 1000), ClaimOutcome::granted},
       {"repeated by the same request", 1001, claimOf("k", "r1", 1000), ClaimOutcome::granted},
@@ -50,16 +50,16 @@
   }
 }
 
-/// What a lost cell granted is not known to the one that takes its place.
-TEST(ClaimTableTest, aCellFoundedAnewGrantsNothingIssuedBefore) {
+/// A new cell that replaces a lost one does not know which claims that one granted.
+TEST(ClaimTableTest, aReplacementCellGrantsNothingIssuedBeforeItsFounding) {
   table.foundedAt(at(2000));
   CHECK_TRUE(table.claim(claimOf("before", "r1", 1999), at(2001)) == ClaimOutcome::expired);
   CHECK_TRUE(table.claim(claimOf("after", "r2", 2000), at(2001)) == ClaimOutcome::granted);
 }
 
-/// Each key is issued once and resent at will, by clocks that are off by up to the skew: whatever
-/// the order, one request gets it.
-TEST(ClaimTableTest, resendIsNeverGrantedAnew) {
+/// Each key is issued once and resent repeatedly, with clocks that differ by up to the skew: in
+/// every order only one request is granted the key.
+TEST(ClaimTableTest, aKeyIsNeverGrantedToASecondRequest) {
   for (std::int64_t offset = -30; offset <= 30; offset += 10) {
     for (std::int64_t resentAfter = 0; resentAfter <= 700; ++resentAfter) {
       ClaimTable fresh(kWindow, kSkew);
--- a/test/control/controller_cell.h
+++ b/test/control/controller_cell.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Several controllers over an in-memory network under virtual time, with engines that keep to the
-/// fencing rules. Disks are perfect here: the simulator has those that fail.
+/// Several controllers connected by an in-memory network under virtual time, with engines that
+/// follow the fencing rules. Disks never fail here; the simulator covers disk failures.
 
 #include <algorithm>
 #include <functional>
@@ -13,24 +13,25 @@
 #include <utility>
 #include <vector>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 #include "walnut/factories.h"
 
-// After all others: it replaces `new`.
+// Must be included after all other headers: it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace walnut::control {
 
-/// An engine that loads in a fixed time and counts what it is told.
+/// An engine that loads in a fixed time and counts the orders it receives.
 struct FakeEngine {
   static constexpr base::Duration kLoadTime = std::chrono::seconds(1);
 
   base::Incarnation incarnation{kFirstIncarnation};
   engine::FencingToken greatest;
-  std::map<resource::Servable, base::TimePoint> held;  ///< With the time of being ready.
-  std::size_t loadsBegun = 0;
+  /// Held servables and the time when each is ready.
+  std::map<resource::Servable, base::TimePoint> held;
+  std::size_t loadsStarted = 0;
   std::size_t staleOrders = 0;
-  bool dead = false;
+  bool isUnreachable = false;
 
   void restart() {
     ++incarnation.value;
@@ -39,7 +40,7 @@
   }
 
   engine::CallResult call(base::TimePoint now, const engine::Call& call) {
-    if (dead) {
+    if (isUnreachable) {
       return base::Error{base::ErrorCode::connectFailed, "", ""};
     }
     if (const auto* request = std::get_if<engine::ReportRequest>(&call)) {
@@ -57,7 +58,7 @@
     if (order.action == engine::OrderAction::unload) {
       held.erase(order.servable);
     } else if (held.try_emplace(order.servable, now + kLoadTime).second) {
-      ++loadsBegun;
+      ++loadsStarted;
     }
     return engine::CallResult(engine::OrderAccepted{greatest});
   }
@@ -80,12 +81,13 @@
   }
 };
 
-/// Servers are numbered from 0; server n has the id n + 1.
+/// A cell of controllers. Servers are numbered from 0; server n has the id n + 1.
 class ControllerCell {
  public:
   static constexpr base::Duration kLatency = std::chrono::milliseconds(1);
 
-  /// @param voters servers of the first membership; `spare` more wait to be added.
+  /// @param voters number of servers in the first membership.
+  /// @param spare number of further servers that can be added later.
   explicit ControllerCell(std::size_t voters, std::size_t spare = 0, ControllerOptions options = {})
       : options_(options) {
     consensus::Membership membership;
@@ -119,7 +121,7 @@
   void run(base::Duration duration) {
     runUntil([end = now + duration, this] { return now >= end; }, duration);
   }
-  /// Fails the test if the condition does not become true in time.
+  /// Runs until the condition is true; fails the test if that takes longer than the limit.
   void runUntil(const std::function<bool()>& done, base::Duration limit) {
     const base::TimePoint end = now + limit;
     while (!done()) {
@@ -133,7 +135,7 @@
     CHECK_TRUE(done());
   }
 
-  /// @return the server that leads with the greatest term, or nothing.
+  /// @return the leader with the greatest term; empty if there is none.
   std::optional<std::size_t> leader() const {
     std::optional<std::size_t> found;
     consensus::Term term = 0;
@@ -154,7 +156,8 @@
     return servers_[server].controller->raftStatus();
   }
 
-  /// A server that is down handles nothing until it is up again; inputs wait.
+  /// Stops or restarts a server. A stopped server handles nothing; its inputs wait until it is
+  /// restarted.
   void setDown(std::size_t server, bool down) {
     servers_[server].down = down;
     for (ControllerInput& waiting :
@@ -162,7 +165,7 @@
       input(server, std::move(waiting));
     }
   }
-  /// Messages between this server and the others are lost.
+  /// Sets whether messages between this server and the others are lost.
   void setCut(std::size_t server, bool cut) { servers_[server].cut = cut; }
 
   void stop(std::size_t server) { input(server, PlannedStop{}); }
@@ -182,14 +185,15 @@
     return call(server,
                 PutResource{"put-" + std::to_string(++puts_), std::nullopt, std::move(declared)});
   }
-  /// Model `m` with version `v1` and that limit.
+  /// Declares model `m` with version `v1` and this replica limit.
   void declareModel(std::size_t server, std::uint32_t maxReplicas) {
     put(server, declare(resource::Kind::model, "m", modelSpec("")));
     put(server, declare(resource::Kind::modelVersion, "v1", versionSpec("m")));
     put(server, declare(resource::Kind::model, "m", modelSpec("v1", maxReplicas)));
   }
 
-  /// @return the connection of a router to the server.
+  /// Connects a router to the server.
+  /// @return the connection.
   protocol::ConnectionId connectRouter(std::size_t server, std::uint64_t router) {
     const protocol::ConnectionId connection{kFirstRouter + router};
     input(server, PeerOpened{connection, hello(protocol::PeerRole::router, router)});
@@ -198,7 +202,7 @@
   void send(std::size_t server, protocol::ConnectionId connection, protocol::Message message) {
     input(server, PeerMessage{connection, std::move(message)});
   }
-  /// Demand of a router for model `m`, to whoever leads.
+  /// Reports a router's demand for model `m` to the current leader.
   void demand(std::uint64_t router, std::uint32_t waiting) {
     const std::size_t server = awaitLeader();
     protocol::DemandReport report{base::RouterId{router}, ++reports_, true, {}, {}};
@@ -210,7 +214,7 @@
     send(server, connectRouter(server, router), report);
   }
 
-  /// A router tells whoever leads what became of its attempts at an engine.
+  /// Reports the outcomes of a router's attempts at an engine to the current leader.
   void outcomes(std::uint64_t router, const std::string& engine, std::uint32_t answered,
                 std::uint32_t failed) {
     const std::size_t server = awaitLeader();
@@ -228,18 +232,18 @@
     machines.push_back(machine);
     return engines_[machine.endpoint];
   }
-  /// @return the state as this server sees it.
+  /// @return the status as seen by this server.
   protocol::CellStatus cellStatus(std::size_t server) {
     return *call(server, protocol::GetStatus{}).status;
   }
 
   base::TimePoint now = atSecond(1000);
   std::map<std::uint64_t, protocol::ApiReply> replies;
-  /// What was sent to routers, in order.
+  /// Messages sent to routers, in order.
   std::vector<std::pair<protocol::ConnectionId, protocol::Message>> toRouters;
   std::vector<engine::PlatformMachine> machines;
   std::set<std::size_t> stopped;
-  /// Added to the way of every order from now on.
+  /// Extra delay of every order sent from now on.
   base::Duration orderDelay{0};
 
  private:
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -23,10 +23,10 @@
   return reply.error && reply.error->code == code;
 }
 
-/// Three servers, one engine `e1`, and model `m`, limited to one replica, that a router just asked
-/// for.
-struct DemandedModel {
-  DemandedModel() {
+/// Three servers, one engine `e1`, and model `m` with a limit of one replica, for which a router
+/// has just reported demand.
+struct RequestedModelCell {
+  RequestedModelCell() {
     cell.declareModel(leader, 1);
     cell.run(seconds(2));
     cell.demand(1, 1);
@@ -53,11 +53,11 @@
                       base::ErrorCode::notFound));
 }
 
-TEST(Controller, aForwardedRequestThatGotLostIsForwardedAgain) {
+TEST(Controller, aLostForwardedRequestIsForwardedAgain) {
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   const std::size_t follower = otherThan(leader);
-  cell.run(seconds(1));  // The follower knows the leader.
+  cell.run(seconds(1));  // Time for the follower to learn of the leader.
   cell.setCut(follower, true);
   const std::uint64_t call = cell.beginCall(follower, putDrain("r1", "x"));
   cell.setCut(follower, false);
@@ -65,14 +65,14 @@
   CHECK_TRUE(cell.leader() == leader);
 }
 
-TEST(Controller, aResendGetsTheFirstAnswerAlsoFromALaterLeader) {
+TEST(Controller, aResendToALaterLeaderGetsTheFirstAnswer) {
   ControllerCell cell(3);
-  const std::size_t former = cell.awaitLeader();
-  const auto first = cell.call(former, putDrain("r1", "repair"));
-  cell.call(former, putDrain("r2", "other"));
-  cell.setDown(former, true);
+  const std::size_t previousLeader = cell.awaitLeader();
+  const auto first = cell.call(previousLeader, putDrain("r1", "repair"));
+  cell.call(previousLeader, putDrain("r2", "other"));
+  cell.setDown(previousLeader, true);
   const std::size_t next = cell.awaitLeader();
-  CHECK_TRUE(next != former);
+  CHECK_TRUE(next != previousLeader);
   const auto again = cell.call(next, putDrain("r1", "repair"));
   CHECK_EQUAL(first.version, again.version);
   CHECK_TRUE(
@@ -85,7 +85,7 @@
   CHECK_TRUE(hasError(cell.call(0, putDrain("", "x")), base::ErrorCode::missingField));
 }
 
-TEST(Controller, withoutAQuorumAWriteIsUnknownOnlyIfItMayBeInALog) {
+TEST(Controller, withoutAQuorumOnlyAWriteThatMayBeInALogHasAnUnknownOutcome) {
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   const std::size_t follower = otherThan(leader);
@@ -93,7 +93,7 @@
     cell.setCut(server, true);
   }
   const std::uint64_t proposed = cell.beginCall(leader, putDrain("r1", "x"));
-  cell.run(seconds(2));  // The follower has given up its leader.
+  cell.run(seconds(2));  // The follower no longer knows a leader.
   const std::uint64_t held = cell.beginCall(follower, putDrain("r2", "x"));
   const std::uint64_t read = cell.beginCall(follower, protocol::ListResources{});
   CHECK_TRUE(hasError(cell.awaitReply(proposed), base::ErrorCode::outcomeUnknown));
@@ -101,22 +101,23 @@
   CHECK_TRUE(hasError(cell.awaitReply(read), base::ErrorCode::noQuorum));
 }
 
-TEST(Controller, aWriteOfALostLeaderIsAnsweredByTheNextOne) {
+TEST(Controller, aWriteSentToAPartitionedLeaderIsAnsweredByTheNextLeader) {
   ControllerCell cell(3);
-  const std::size_t former = cell.awaitLeader();
-  cell.setCut(former, true);
-  const std::uint64_t call = cell.beginCall(former, putDrain("r1", "x"));
+  const std::size_t previousLeader = cell.awaitLeader();
+  cell.setCut(previousLeader, true);
+  const std::uint64_t call = cell.beginCall(previousLeader, putDrain("r1", "x"));
   cell.run(seconds(2));
-  cell.setCut(former, false);
+  cell.setCut(previousLeader, false);
   CHECK_FALSE(cell.awaitReply(call).error.has_value());
 }
 
-TEST(Controller, aReadAtACutOffLeaderIsNotAnsweredFromOldState) {
+TEST(Controller, aPartitionedLeaderAnswersNoReadFromOldState) {
   ControllerCell cell(3);
-  const std::size_t former = cell.awaitLeader();
-  cell.call(former, putDrain("r1", "x"));
-  cell.setCut(former, true);
-  const std::uint64_t read = cell.beginCall(former, protocol::GetResource{{Kind::drain, "e"}});
+  const std::size_t previousLeader = cell.awaitLeader();
+  cell.call(previousLeader, putDrain("r1", "x"));
+  cell.setCut(previousLeader, true);
+  const std::uint64_t read =
+      cell.beginCall(previousLeader, protocol::GetResource{{Kind::drain, "e"}});
   CHECK_TRUE(hasError(cell.awaitReply(read), base::ErrorCode::noQuorum));
 }
 
@@ -149,7 +150,7 @@
   CHECK_TRUE(refused.outcome == ClaimOutcome::unavailable);
 }
 
-TEST(Controller, aClaimThatMayBeInALogIsNotSaidToBeUnavailable) {
+TEST(Controller, aClaimThatMayBeInALogIsNotAnsweredUnavailable) {
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   const auto connection = cell.connectRouter(leader, 1);
@@ -159,7 +160,7 @@
   cell.send(leader, connection, claim);
   cell.run(seconds(2));
   CHECK_TRUE(cell.toRouters.empty());
-  cell.setCut(leader, false);  // Its entry is now replaced by the next leader's.
+  cell.setCut(leader, false);  // The next leader's entry now replaces its entry.
   cell.run(seconds(2));
   const auto& reply = std::get<protocol::ClaimReply>(cell.toRouters.at(0).second);
   CHECK_TRUE(reply.outcome == ClaimOutcome::unavailable);
@@ -187,20 +188,20 @@
     }
     cell.run(milliseconds(300));
   }
-  CHECK_EQUAL(1, one.loadsBegun + other.loadsBegun);
+  CHECK_EQUAL(1, one.loadsStarted + other.loadsStarted);
   const auto status = cell.cellStatus(0);
   CHECK_EQUAL(1, status.replicas.size());
   CHECK_TRUE(status.replicas.front().state == resource::ReplicaState::ready);
 }
 
-TEST(Controller, aNewLeaderTakesOverALoadUnderWay) {
-  DemandedModel demanded;
-  auto& [cell, engine, former] = demanded;
-  cell.runUntil([&] { return engine.loadsBegun == 1; }, seconds(5));
-  cell.setDown(former, true);
+TEST(Controller, aNewLeaderTakesOverALoadInProgress) {
+  RequestedModelCell requested;
+  auto& [cell, engine, previousLeader] = requested;
+  cell.runUntil([&] { return engine.loadsStarted == 1; }, seconds(5));
+  cell.setDown(previousLeader, true);
   cell.demand(1, 1);
   cell.run(seconds(4));
-  CHECK_EQUAL(1, engine.loadsBegun);
+  CHECK_EQUAL(1, engine.loadsStarted);
   const auto status = cell.cellStatus(*cell.leader());
   CHECK_EQUAL(1, status.replicas.size());
   CHECK_TRUE(status.replicas.front().state == resource::ReplicaState::ready);
@@ -209,39 +210,39 @@
 TEST(Controller, aLateOrderOfAFrozenLeaderIsRefused) {
   ControllerCell cell(3);
   FakeEngine& engine = cell.addEngine("e1");
-  const std::size_t former = cell.awaitLeader();
-  cell.declareModel(former, 1);
+  const std::size_t previousLeader = cell.awaitLeader();
+  cell.declareModel(previousLeader, 1);
   cell.run(seconds(2));
   cell.orderDelay = seconds(10);
   cell.demand(1, 1);
-  cell.run(milliseconds(200));  // The order is on its way.
+  cell.run(milliseconds(200));  // The order is in flight.
   cell.orderDelay = base::Duration{0};
-  cell.setDown(former, true);
+  cell.setDown(previousLeader, true);
   cell.run(seconds(4));
-  CHECK_EQUAL(1, engine.loadsBegun);  // By the next leader.
+  CHECK_EQUAL(1, engine.loadsStarted);  // The load of the next leader.
   cell.run(seconds(10));
   CHECK_EQUAL(1, engine.staleOrders);
-  cell.setDown(former, false);
+  cell.setDown(previousLeader, false);
   cell.run(seconds(3));
-  CHECK_EQUAL(1, engine.staleOrders);  // The thawed one sends no more.
-  CHECK_EQUAL(1, engine.loadsBegun);
+  CHECK_EQUAL(1, engine.staleOrders);  // The resumed leader sends no more orders.
+  CHECK_EQUAL(1, engine.loadsStarted);
 }
 
-TEST(Controller, anEngineThatDiesMidLoadGetsANewReplicaInItsNextLife) {
-  DemandedModel demanded;
-  auto& [cell, engine, leader] = demanded;
-  cell.runUntil([&] { return engine.loadsBegun == 1; }, seconds(5));
+TEST(Controller, anEngineThatRestartsDuringALoadGetsANewReplica) {
+  RequestedModelCell requested;
+  auto& [cell, engine, leader] = requested;
+  cell.runUntil([&] { return engine.loadsStarted == 1; }, seconds(5));
   engine.restart();
   cell.run(seconds(3));
-  CHECK_EQUAL(2, engine.loadsBegun);
+  CHECK_EQUAL(2, engine.loadsStarted);
   const auto status = cell.cellStatus(leader);
   CHECK_EQUAL(1, status.replicas.size());
   CHECK_TRUE(status.replicas.front().incarnation == engine.incarnation);
 }
 
 TEST(Controller, aDrainedEngineIsEmptied) {
-  DemandedModel demanded;
-  auto& [cell, engine, leader] = demanded;
+  RequestedModelCell requested;
+  auto& [cell, engine, leader] = requested;
   cell.run(seconds(3));
   CHECK_EQUAL(1, engine.held.size());
   cell.put(leader, declare(Kind::drain, "e1", resource::DrainSpec{}));
@@ -250,14 +251,14 @@
   CHECK_TRUE(cell.cellStatus(leader).replicas.empty());
 }
 
-TEST(Controller, aMachineThatIsGoneIsRemovedWithItsReplicasOnceItAnswersNoMore) {
-  DemandedModel demanded;
-  auto& [cell, engine, leader] = demanded;
+TEST(Controller, aMissingMachineIsRemovedWithItsReplicasOnceItIsUnresponsive) {
+  RequestedModelCell requested;
+  auto& [cell, engine, leader] = requested;
   cell.run(seconds(2));
   cell.machines.clear();
   cell.run(seconds(30));
   CHECK_TRUE(cell.cellStatus(leader).engines.at(0).status == resource::EngineStatus::leaving);
-  engine.dead = true;
+  engine.isUnreachable = true;
   cell.run(seconds(8));
   CHECK_EQUAL(1, cell.cellStatus(leader).engines.size());
   cell.run(seconds(4));
@@ -265,11 +266,11 @@
   CHECK_TRUE(cell.cellStatus(leader).replicas.empty());
 }
 
-TEST(Controller, aSilentEngineKeepsItsReplicas) {
-  DemandedModel demanded;
-  auto& [cell, engine, leader] = demanded;
+TEST(Controller, anUnresponsiveEngineKeepsItsReplicas) {
+  RequestedModelCell requested;
+  auto& [cell, engine, leader] = requested;
   cell.run(seconds(2));
-  engine.dead = true;
+  engine.isUnreachable = true;
   cell.addEngine("e2");
   for (int round = 0; round < 60; ++round) {
     cell.demand(1, 1);
@@ -282,10 +283,10 @@
 
 namespace {
 
-/// Three servers, engines `e1` and `e2`, model `m` loaded on one of them, which fails all requests
-/// of three routers from now on and reports that it is well.
-struct FailingEngine {
-  explicit FailingEngine(std::uint32_t maxReplicas) {
+/// Three servers, engines `e1` and `e2`, and model `m` loaded on one of them. That engine fails all
+/// requests of three routers from now on but reports that it is healthy.
+struct FailingEngineCell {
+  explicit FailingEngineCell(std::uint32_t maxReplicas) {
     cell.addEngine("e1");
     cell.addEngine("e2");
     leader = cell.awaitLeader();
@@ -298,7 +299,8 @@
       cell.outcomes(router, failing, 0, 1);
     }
   }
-  /// Runs on, with requests that wait, and @return the engines that hold the model then.
+  /// Continues with waiting requests.
+  /// @return the engines that hold the model afterwards.
   std::set<std::string> holders() {
     for (int round = 0; round < 3; ++round) {
       cell.demand(1, 1);
@@ -319,12 +321,12 @@
 }  // namespace
 
 TEST(Controller, aModelOfAnEngineThatFailsItsRequestsIsLoadedElsewhere) {
-  FailingEngine failing(2);
+  FailingEngineCell failing(2);
   CHECK_EQUAL(2, failing.holders().size());
 }
 
-TEST(Controller, atItsLimitAModelLeavesAnEngineThatFailsItsRequests) {
-  FailingEngine failing(1);
+TEST(Controller, aModelAtItsReplicaLimitMovesAwayFromAFailingEngine) {
+  FailingEngineCell failing(1);
   const std::set<std::string> holders = failing.holders();
   CHECK_EQUAL(1, holders.size());
   CHECK_FALSE(holders.contains(failing.failing));
@@ -339,7 +341,7 @@
   const auto members = cell.status(leader).membership.members;
   CHECK_EQUAL(4, members.size());
   CHECK_TRUE(members.back().role == consensus::MemberRole::voter);
-  CHECK_FALSE(cell.call(leader, add).error.has_value());  // A resend.
+  CHECK_FALSE(cell.call(leader, add).error.has_value());  // The request is resent.
   const protocol::ChangeMember remove{"r2", true, cell.member(otherThan(leader))};
   CHECK_FALSE(cell.call(leader, remove).error.has_value());
   CHECK_EQUAL(3, cell.status(leader).membership.members.size());
@@ -348,7 +350,7 @@
   CHECK_TRUE(hasError(cell.call(leader, taken), base::ErrorCode::alreadyExists));
 }
 
-TEST(Controller, aServerThatMissedManyChangesIsBroughtUpBySnapshot) {
+TEST(Controller, aServerThatMissedManyChangesCatchesUpBySnapshot) {
   control::ControllerOptions options;
   options.snapshotEveryEntries = 20;
   options.snapshotKeepEntries = 5;
@@ -367,10 +369,10 @@
   cell.run(milliseconds(100));
   const auto& page = std::get<protocol::WatchSnapshotPage>(cell.toRouters.at(0).second);
   CHECK_TRUE(page.last);
-  CHECK_EQUAL(101, page.changes.size());  // With the membership.
+  CHECK_EQUAL(101, page.changes.size());  // Includes the membership.
 }
 
-TEST(Controller, aPlannedStopHandsOverAndAnswersWhatIsPending) {
+TEST(Controller, aPlannedStopTransfersLeadershipAndAnswersPendingRequests) {
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   const std::uint64_t pending = cell.beginCall(leader, putDrain("r1", "x"));
--- a/test/control/crash_cover_test.cpp
+++ b/test/control/crash_cover_test.cpp
@@ -1,8 +1,8 @@
-/// Which requests the likely explanations of crashes do not do without.
+/// Tests which requests are part of every smallest explanation of a set of crashes.
 
 #include "control/crash_cover.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut::control;
@@ -18,37 +18,37 @@
 }
 ;
 
-TEST(CrashCoverTest, whatWasAloneAtACrashIsNeeded) {
+TEST(CrashCoverTest, theOnlyCandidateForACrashIsNecessary) {
   CrashCover cover({at({0, 1, 2}), at({0, 1})});
   CHECK_TRUE(cover.isNecessary(at({0, 1, 2})));
   CHECK_FALSE(cover.isNecessary(at({0, 1})));
 }
 
-TEST(CrashCoverTest, oneCauseIsLikelierThanTwo) {
+TEST(CrashCoverTest, anExplanationWithOneCauseIsPreferredToTwo) {
   CrashCover cover({at({0, 1, 2}), at({0, 1}), at({1, 2})});
   CHECK_TRUE(cover.isNecessary(at({0, 1, 2})));
   CHECK_FALSE(cover.isNecessary(at({1, 2})));
 }
 
-TEST(CrashCoverTest, whatWasBesideSeveralCausesIsNotNeededThoughItHasTheMostCrashes) {
+TEST(CrashCoverTest, aBystanderOfSeveralCausesIsNotNecessaryDespiteTheMostCrashes) {
   CrashCover cover({at({0, 1, 2, 3}), at({0, 4}), at({1, 2, 5}), at({3, 6})});
   CHECK_FALSE(cover.isNecessary(at({0, 1, 2, 3})));
   CHECK_TRUE(cover.isNecessary(at({0, 4})));
   CHECK_TRUE(cover.isNecessary(at({1, 2, 5})));
 }
 
-TEST(CrashCoverTest, ofTwoExplanationsWithAsManyCausesNeitherIsNeeded) {
+TEST(CrashCoverTest, noCandidateIsNecessaryBetweenExplanationsOfEqualSize) {
   CrashCover cover({at({0, 1, 2}), at({0, 1, 3}), at({2, 3}), at({0, 2, 3})});
   CHECK_FALSE(cover.isNecessary(at({0, 1, 2})));
   CHECK_FALSE(cover.isNecessary(at({0, 2, 3})));
 }
 
-TEST(CrashCoverTest, ofTwoWithTheSameCrashesNeitherIsNeeded) {
+TEST(CrashCoverTest, candidatesWithTheSameCrashesAreNotNecessary) {
   CrashCover cover({at({0, 1, 2}), at({0, 1, 2})});
   CHECK_FALSE(cover.isNecessary(at({0, 1, 2})));
 }
 
-TEST(CrashCoverTest, crashesElsewhereDoNotMatter) {
+TEST(CrashCoverTest, unrelatedCrashesDoNotMatter) {
   CrashCover cover({at({0, 1, 2}), at({0, 1}), at({1, 2}), at({10, 11}), at({11, 12})});
   CHECK_TRUE(cover.isNecessary(at({0, 1, 2})));
 }
--- a/test/control/crash_ledger_test.cpp
+++ b/test/control/crash_ledger_test.cpp
@@ -1,4 +1,4 @@
-/// Which requests are held to crash their workers.
+/// Tests which requests are classified as the cause of worker crashes.
 
 #include "control/crash_ledger.h"
 
@@ -7,7 +7,7 @@
 
 #include "base/archive.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -16,37 +16,37 @@
 TEST_GROUP(CrashLedgerTest) {
   Ledger ledger;
 
-  /// A worker ends with these requests; of none of them it is known whether it had begun.
+  /// Records a crash with these requests; it is unknown whether any of them was running.
   void add(const std::string& worker, const std::vector<std::string>& requests) {
     ledger.add(worker, {}, requests);
   }
-  void checkGuilty(const std::set<std::string>& expected) { CHECK(ledger.guilty() == expected); }
+  void checkRefused(const std::set<std::string>& expected) { CHECK(ledger.guilty() == expected); }
 };
 
-TEST(CrashLedgerTest, aRequestIsGuiltyOnceThreeWorkersHaveEndedUnderIt) {
+TEST(CrashLedgerTest, aRequestIsRefusedAfterThreeCrashes) {
   add("w1", {"r"});
   add("w2", {"r"});
-  checkGuilty({});
+  checkRefused({});
   add("w3", {"r"});
-  checkGuilty({"r"});
+  checkRefused({"r"});
 }
 
-TEST(CrashLedgerTest, aCrashThatIsToldTwiceCountsOnce) {
+TEST(CrashLedgerTest, aCrashReportedTwiceCountsOnce) {
   add("w1", {"r"});
   add("w1", {"r"});
   add("w2", {"r"});
-  checkGuilty({});
+  checkRefused({});
 }
 
-TEST(CrashLedgerTest, crashesThatAnotherRequestExplainsSpeakAgainstNobody) {
+TEST(CrashLedgerTest, crashesExplainedByAnotherRequestAreNoEvidence) {
   add("w1", {"guilty", "beside"});
   add("w2", {"guilty", "beside"});
   add("w3", {"guilty", "beside"});
   add("w4", {"guilty"});
-  checkGuilty({"guilty"});
+  checkRefused({"guilty"});
 }
 
-TEST(CrashLedgerTest, crashesOfTwoCausesAreTakenApart) {
+TEST(CrashLedgerTest, crashesOfTwoCausesAreToldApart) {
   add("w1", {"one", "beside"});
   add("w2", {"two", "beside"});
   add("w3", {"one"});
@@ -54,90 +54,91 @@
   add("w5", {"one"});
   add("w6", {"two"});
   add("w7", {"one"});
-  checkGuilty({"one", "two"});
+  checkRefused({"one", "two"});
 }
 
-TEST(CrashLedgerTest, requestsWithTheSameCrashesGoOnUntilOneMoreTellsThemApart) {
+TEST(CrashLedgerTest, requestsWithTheSameCrashesContinueUntilOneMoreCrashTellsThemApart) {
   for (const char* worker : {"w1", "w2", "w3"}) {
     add(worker, {"one", "two"});
   }
-  checkGuilty({});
+  checkRefused({});
   add("w4", {"two"});
-  checkGuilty({"two"});
+  checkRefused({"two"});
 }
 
-TEST(CrashLedgerTest, requestsThatCrashFourWorkersTogetherAreBothGuilty) {
+TEST(CrashLedgerTest, twoRequestsWithTheSameFourCrashesAreBothRefused) {
   for (const char* worker : {"w1", "w2", "w3", "w4"}) {
     add(worker, {"one", "two"});
   }
-  checkGuilty({"one", "two"});
+  checkRefused({"one", "two"});
 }
 
-/// One crash that nobody else explains is enough to be held guilty, until somebody does.
-TEST(CrashLedgerTest, evidenceThatComesLaterClearsWhoWasHeldGuilty) {
+/// One crash that no other request explains is enough to be classified as a cause, until another
+/// request explains it.
+TEST(CrashLedgerTest, laterEvidenceClearsARefusedRequest) {
   add("w1", {"beside", "one"});
   add("w2", {"beside", "one"});
   add("w3", {"beside", "two"});
-  checkGuilty({"beside"});
+  checkRefused({"beside"});
   add("w4", {"one"});
   add("w5", {"one"});
-  checkGuilty({"beside", "one"});
+  checkRefused({"beside", "one"});
   add("w6", {"two"});
   add("w7", {"two"});
-  checkGuilty({"one", "two"});
+  checkRefused({"one", "two"});
 }
 
-TEST(CrashLedgerTest, requestsThatShareCrashesAndHaveOneOfTheirOwnAreBothGuilty) {
+TEST(CrashLedgerTest, requestsWithSharedCrashesAndOneOfTheirOwnAreBothRefused) {
   add("w1", {"one", "two"});
   add("w2", {"one", "two"});
   add("w3", {"one"});
-  checkGuilty({"one"});
+  checkRefused({"one"});
   add("w4", {"two"});
-  checkGuilty({"one", "two"});
+  checkRefused({"one", "two"});
 }
 
-TEST(CrashLedgerTest, whoWasOnlyBesideContestsNothing) {
+TEST(CrashLedgerTest, aBystanderDoesNotPreventARefusal) {
   add("w1", {"guilty", "beside"});
   add("w2", {"guilty", "beside"});
   add("w3", {"guilty"});
-  checkGuilty({"guilty"});
+  checkRefused({"guilty"});
 }
 
-/// Its caller comes again sooner than those of the three that crash workers, and meets each of
-/// them.
-TEST(CrashLedgerTest, whoWasBesideSeveralCausesIsNotGuiltyThoughItHasMoreCrashes) {
+/// Guards against refusing a request that is retried faster than three crashing ones and therefore
+/// was on a worker with each of them.
+TEST(CrashLedgerTest, aBystanderOfSeveralCausesIsNotRefusedDespiteMoreCrashes) {
   add("w1", {"beside", "one"});
   add("w2", {"beside", "two"});
   add("w3", {"beside", "three"});
   add("w4", {"beside", "three"});
   add("w5", {"one"});
   add("w6", {"two"});
-  checkGuilty({});
+  checkRefused({});
   add("w7", {"three"});
-  checkGuilty({"three"});
+  checkRefused({"three"});
 }
 
-/// The head of an answer may come just before its worker ends by another request, of which the
-/// other crashes tell.
-TEST(CrashLedgerTest, whatHadBegunBesideALikelyCauseIsNotGuiltyOfThatCrash) {
+/// A worker may send the head of an answer just before another request crashes it. The other
+/// crashes show which request is the cause.
+TEST(CrashLedgerTest, aRequestRunningNextToALikelyCauseIsNotRefused) {
   add("w1", {"cause", "beside"});
   add("w2", {"cause", "beside"});
   add("w3", {"cause"});
   ledger.add("w4", {"beside"}, {"cause"});
-  checkGuilty({"cause"});
+  checkRefused({"cause"});
 }
 
-/// At most few of them are causes: the next crashes tell.
-TEST(CrashLedgerTest, aCrowdWithTheSameCrashesGoesOnUntilTheLastLimit) {
+/// At most a few of these requests are causes; the next crashes show which.
+TEST(CrashLedgerTest, threeRequestsWithTheSameCrashesContinueUntilTheUnexplainedCrashLimit) {
   for (std::size_t crash = 1; crash < control::crash::kUnexplainedCrashLimit; ++crash) {
     add("w" + std::to_string(crash), {"one", "two", "three"});
-    checkGuilty({});
+    checkRefused({});
   }
   add("last", {"one", "two", "three"});
-  checkGuilty({"one", "two", "three"});
+  checkRefused({"one", "two", "three"});
 }
 
-TEST(CrashLedgerTest, whoWasAloneAtACrashIsNotContested) {
+TEST(CrashLedgerTest, theOnlyRequestAtACrashIsNotContested) {
   add("w1", {"r", "beside"});
   add("w2", {"r", "beside"});
   CHECK_TRUE(ledger.contested("r"));
@@ -146,66 +147,67 @@
   CHECK_TRUE(ledger.contested("beside"));
 }
 
-TEST(CrashLedgerTest, whatHadBegunExplainsTheCrashForWhatWasQueued) {
+TEST(CrashLedgerTest, aRunningRequestExplainsTheCrashForQueuedOnes) {
   for (const char* worker : {"w1", "w2", "w3"}) {
     ledger.add(worker, {"begun"}, {"queued"});
   }
-  checkGuilty({"begun"});
+  checkRefused({"begun"});
 }
 
-TEST(CrashLedgerTest, thatOneHadBegunMayBeToldLater) {
+TEST(CrashLedgerTest, aRunningRequestMayBeReportedLater) {
   for (const char* worker : {"w1", "w2", "w3"}) {
     add(worker, {"queued"});
   }
-  checkGuilty({"queued"});
+  checkRefused({"queued"});
   ledger.add("w3", {"begun"}, {});
-  checkGuilty({});
+  checkRefused({});
 }
 
-/// What crashes its workers before it is seen to begin, always beside others that have begun.
-TEST(CrashLedgerTest, whatIsQueuedAtTwiceAsManyCrashesIsGuiltyAllTheSame) {
+/// A request may crash its workers before it is reported as running, each time next to others that
+/// are running.
+TEST(CrashLedgerTest, aRequestQueuedAtTwiceAsManyCrashesIsRefused) {
   for (const char* worker : {"w1", "w2", "w3", "w4", "w5"}) {
     ledger.add(worker, {std::string("beside ") + worker}, {"queued"});
   }
-  checkGuilty({});
+  checkRefused({});
   ledger.add("w6", {"beside w6"}, {"queued"});
-  checkGuilty({"queued"});
+  checkRefused({"queued"});
 }
 
-TEST(CrashLedgerTest, aWorkerThatHadNotEndedIsNoEvidence) {
+TEST(CrashLedgerTest, aRetractedCrashIsNoEvidence) {
   add("w1", {"r"});
   add("w2", {"r"});
   add("w3", {"r"});
   ledger.retract("w2");
-  checkGuilty({});
+  checkRefused({});
   ledger.retract("w1");
   ledger.retract("w3");
   CHECK(ledger.empty());
 }
 
-TEST(CrashLedgerTest, whatWasAnsweredIsAcquitted) {
+TEST(CrashLedgerTest, anAnsweredRequestIsAcquitted) {
   for (const char* worker : {"w1", "w2", "w3"}) {
     add(worker, {"r"});
   }
   ledger.acquit("r");
-  checkGuilty({});
+  checkRefused({});
   CHECK(ledger.empty());
 }
 
-TEST(CrashLedgerTest, oldEvidenceLetsAGuiltyRequestBeTriedOnceMore) {
+TEST(CrashLedgerTest, agedEvidenceAllowsARefusedRequestOneMoreAttempt) {
   for (const char* worker : {"w1", "w2", "w3", "w4"}) {
     add(worker, {"r"});
   }
   ledger.age("r");
-  checkGuilty({});
+  checkRefused({});
   add("w5", {"r"});
-  checkGuilty({"r"});
+  checkRefused({"r"});
   add("w6", {"once"});
   ledger.age("once");
   CHECK_EQUAL(0, ledger.evidence().count("once"));
 }
 
-TEST(CrashLedgerTest, ofTooManySuspectsThoseWithTheFewestCrashesGoFirst) {
+TEST(CrashLedgerTest, suspectsWithTheFewestCrashesAreEvictedFirst) {
   add("w1", {"r"});
   add("w2", {"r"});
   for (std::size_t number = 0; number < 2 * control::crash::kMaxSuspects; ++number) {
@@ -216,7 +218,7 @@
   CHECK_EQUAL(0, ledger.evidence().count("other0"));
 }
 
-TEST(CrashLedgerTest, itIsRestoredAsItWas) {
+TEST(CrashLedgerTest, aSerializedLedgerIsRestoredUnchanged) {
   add("w1", {"r", "s"});
   add("w2", {"r"});
   const auto restored = base::decode<Ledger>(base::encode(ledger), "ledger");
--- a/test/control/demand_table_test.cpp
+++ b/test/control/demand_table_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::atSecond;
@@ -55,24 +55,25 @@
   CHECK_TRUE(table.totals().at(kTarget).earliestDeadline == atSecond(101));
 }
 
-TEST(DemandTable, resentAndOvertakenReportsAddNothing) {
+TEST(DemandTable, duplicateAndOutdatedReportsAreIgnored) {
   applyReport(1, reportOf(1, 2, false, 2));
   CHECK_FALSE(applyReport(2, reportOf(1, 2, false, 2)));
   CHECK_FALSE(applyReport(2, reportOf(1, 1, false, 9)));
-  CHECK_FALSE(applyReport(2, reportOf(1, 3, false, 2)));  // The same state again.
+  CHECK_FALSE(applyReport(2, reportOf(1, 3, false, 2)));  // Reports the same state again.
   CHECK_EQUAL(2, waiting());
 }
 
 TEST(DemandTable, aCompleteReportReplacesAllOfTheRouter) {
   applyReport(1, reportOf(1, 1, false, 2));
   applyReport(1, reportOf(2, 1, false, 1));
-  CHECK_FALSE(applyReport(2, reportOf(1, 2, false, 0)));  // Partial: nothing listed.
+  // A partial report without entries changes nothing.
+  CHECK_FALSE(applyReport(2, reportOf(1, 2, false, 0)));
   CHECK_EQUAL(3, waiting());
   CHECK_TRUE(applyReport(2, reportOf(1, 3, true, 0)));
   CHECK_EQUAL(1, waiting());
 }
 
-TEST(DemandTable, entriesOfASilentRouterLapse) {
+TEST(DemandTable, entriesOfAnUnresponsiveRouterExpire) {
   applyReport(1, reportOf(1, 1, false, 2));
   applyReport(4, reportOf(2, 1, false, 1));
   CHECK_TRUE(table.nextExpiry() == atSecond(6));
@@ -81,7 +82,7 @@
   CHECK_EQUAL(1, waiting());
 }
 
-TEST(DemandTable, aFormerVersionCountsApartAndGoesWhenNoStreamWaitsForIt) {
+TEST(DemandTable, aPreviousVersionIsCountedSeparatelyUntilNoStreamWaitsForIt) {
   protocol::DemandReport report = reportOf(1, 1, false, 2);
   report.entries[0].version = "v0";
   CHECK_TRUE(applyReport(1, report));
--- a/test/control/engine_monitor_test.cpp
+++ b/test/control/engine_monitor_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::atSecond;
@@ -75,12 +75,13 @@
   CHECK_FALSE(monitor.canSendOrder(kEngine));
 }
 
-TEST(EngineMonitor, ignoresTheAnswerOfAFormerEndpoint) {
+TEST(EngineMonitor, ignoresTheAnswerOfAPreviousEndpoint) {
   monitor.tick(atSecond(1), true);
-  const EngineCall former = lastCall();
+  const EngineCall previous = lastCall();
   monitor.track(atSecond(2), kEngine, {"127.0.0.1", 9001});
-  CHECK_FALSE(monitor.callFinished(atSecond(2), {former.call, engine::CallResult(engine::Report{})})
-                  .has_value());
+  CHECK_FALSE(
+      monitor.callFinished(atSecond(2), {previous.call, engine::CallResult(engine::Report{})})
+          .has_value());
   CHECK_TRUE(monitor.report(kEngine) == nullptr);
 }
 
@@ -112,7 +113,7 @@
   CHECK_FALSE(monitor.isResponsive(atSecond(4), kEngine));
 }
 
-TEST(EngineMonitor, theNearestTierCounts) {
+TEST(EngineMonitor, returnsTheNearestCacheTier) {
   monitor.tick(atSecond(1), true);
   engine::Report cached;
   cached.cached = {{"w", engine::CacheTier::localDisk}, {"w", engine::CacheTier::hostMemory}};
--- a/test/control/engine_registration_test.cpp
+++ b/test/control/engine_registration_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::EngineSources;
@@ -11,25 +11,25 @@
 
 namespace {
 
-/// What one source says of the engine.
-enum class Word { unknown, live, leaving, missing };
+/// Status of the engine according to one source.
+enum class SourceStatus { unknown, live, leaving, missing };
 
 struct StatusCase {
   EngineStatus before;
-  Word platform;
-  Word engine;
+  SourceStatus platform;
+  SourceStatus engine;
   EngineStatus expected;
 };
 
 const StatusCase kStatusCases[] = {
-    {EngineStatus::live, Word::live, Word::live, EngineStatus::live},
-    {EngineStatus::live, Word::leaving, Word::live, EngineStatus::leaving},
-    {EngineStatus::live, Word::live, Word::leaving, EngineStatus::leaving},
-    {EngineStatus::live, Word::missing, Word::live, EngineStatus::leaving},
-    {EngineStatus::live, Word::unknown, Word::unknown, EngineStatus::live},
-    {EngineStatus::leaving, Word::live, Word::live, EngineStatus::live},
-    {EngineStatus::leaving, Word::unknown, Word::live, EngineStatus::leaving},
-    {EngineStatus::leaving, Word::live, Word::unknown, EngineStatus::leaving},
+    {EngineStatus::live, SourceStatus::live, SourceStatus::live, EngineStatus::live},
+    {EngineStatus::live, SourceStatus::leaving, SourceStatus::live, EngineStatus::leaving},
+    {EngineStatus::live, SourceStatus::live, SourceStatus::leaving, EngineStatus::leaving},
+    {EngineStatus::live, SourceStatus::missing, SourceStatus::live, EngineStatus::leaving},
+    {EngineStatus::live, SourceStatus::unknown, SourceStatus::unknown, EngineStatus::live},
+    {EngineStatus::leaving, SourceStatus::live, SourceStatus::live, EngineStatus::live},
+    {EngineStatus::leaving, SourceStatus::unknown, SourceStatus::live, EngineStatus::leaving},
+    {EngineStatus::leaving, SourceStatus::live, SourceStatus::unknown, EngineStatus::leaving},
 };
 
 }  // namespace
@@ -46,17 +46,17 @@
   }
 };
 
-TEST(EngineRegistration, statusFollowsBothWords) {
+TEST(EngineRegistration, statusFollowsBothSources) {
   for (const StatusCase& one : kStatusCases) {
     record.status = one.before;
-    machine.leaving = one.platform == Word::leaving;
-    report.leaving = one.engine == Word::leaving;
+    machine.leaving = one.platform == SourceStatus::leaving;
+    report.leaving = one.engine == SourceStatus::leaving;
     EngineSources sources;
     sources.record = &record;
-    const bool listed = one.platform == Word::live || one.platform == Word::leaving;
+    const bool listed = one.platform == SourceStatus::live || one.platform == SourceStatus::leaving;
     sources.machine = listed ? &machine : nullptr;
-    sources.report = one.engine == Word::unknown ? nullptr : &report;
-    sources.hasList = one.platform != Word::unknown;
+    sources.report = one.engine == SourceStatus::unknown ? nullptr : &report;
+    sources.hasList = one.platform != SourceStatus::unknown;
     const auto expected = expectedRecord(sources);
     CHECK_EQUAL(one.before != one.expected, expected.has_value());
     CHECK_TRUE(!expected || expected->status == one.expected);
--- a/test/control/keep_alive_policy_test.cpp
+++ b/test/control/keep_alive_policy_test.cpp
@@ -20,7 +20,7 @@
   return base::Duration(static_cast<std::int64_t>(value * 1e6));
 }
 
-/// @return a histogram of `count` gaps of each of these lengths.
+/// @return a histogram with `count` gaps of each of these lengths.
 IdleGapHistogram histogramOf(const std::vector<double>& gaps, int count = 20) {
   IdleGapHistogram histogram(1000);
   for (int round = 0; round < count; ++round) {
@@ -36,7 +36,7 @@
 TEST_GROUP(KeepAlivePolicy) {
   IdleGapHistogram all{1000};
 
-  /// Half an accelerator, a cold start of 5 s, at this price.
+  /// Plans a model that takes half an accelerator and has a cold start of 5 s, at this price.
   HoldPlan planOf(const IdleGapHistogram& own, double price, double target = 0,
                   double coldStart = 5) {
     const KeepAliveSubject subject{&own, all, 0.5, seconds(coldStart)};
@@ -44,7 +44,7 @@
   }
 };
 
-TEST(KeepAlivePolicy, TheFixedOnesFollowTheirBudget) {
+TEST(KeepAlivePolicy, AFixedIdleTimeoutFollowsItsBudget) {
   struct Case {
     std::uint32_t idle;
     std::uint32_t weight;
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(KeepAlivePolicy, AResidentOneIsAlwaysHeldAndLoadedAhead) {
+TEST(KeepAlivePolicy, AResidentModelIsAlwaysHeldAndLoadedAhead) {
   resource::CapacityBudgetSpec budget;
   budget.keepAlive = resource::KeepAlive::resident;
   const KeepAliveSubject subject{nullptr, all, 0.5, seconds(5)};
@@ -74,8 +74,9 @@
   CHECK_TRUE(plan.preloadsAt(seconds(1e7)));
 }
 
-/// Gaps seen, price, idle time, and whether it is held then.
-TEST(KeepAlivePolicy, TheLearnedOneHoldsWhileAUseIsLikelyEnough) {
+/// Each case gives the observed gaps, the price, the idle time, and whether the replica is held
+/// then.
+TEST(KeepAlivePolicy, ALearnedPolicyHoldsWhileAUseIsLikelyEnough) {
   struct Case {
     std::vector<double> gaps;
     double price;
@@ -83,14 +84,15 @@
     bool held;
   };
   const std::vector<Case> cases = {
-      {{30}, 20, 25, true},           // Half an accelerator for 30 s is cheaper than 100 s.
-      {{30}, 20, 60, false},          // It came later than ever: no longer.
-      {{10000}, 20, 1, false},        // Never soon: at once.
+      {{30}, 20, 25, true},           // Half an accelerator for 30 s costs 15, a cold start 100.
+      {{30}, 20, 60, false},          // Idle for longer than ever before: not held any longer.
+      {{10000}, 20, 1, false},        // Uses are far apart: unloaded immediately.
       {{30, 10000}, 20, 25, true},    // Half of the uses come soon.
-      {{30, 10000}, 20, 200, false},  // The others are too far away.
+      {{30, 10000}, 20, 200, false},  // The remaining uses are too far away.
       {{30}, 0, 1, false},            // Cold starts cost nothing.
-      {{3000}, 400, 2500, false},     // It is loaded ahead later.
-      {{6, 10, 20, 40, 80, 160, 320, 640}, 400, 600, true},  // Dear, and may come at any time.
+      {{3000}, 400, 2500, false},     // It is loaded ahead of the next use instead.
+      // Cold starts are expensive and uses come at any time.
+      {{6, 10, 20, 40, 80, 160, 320, 640}, 400, 600, true},
   };
   for (const Case& one : cases) {
     const HoldPlan plan = planOf(histogramOf(one.gaps), one.price);
@@ -98,7 +100,7 @@
   }
 }
 
-TEST(KeepAlivePolicy, ARegularUseIsLoadedAheadAndNotHeldUntilThen) {
+TEST(KeepAlivePolicy, AModelInRegularUseIsLoadedAheadInsteadOfHeld) {
   const HoldPlan plan = planOf(histogramOf({10000}), 400);
   CHECK_FALSE(plan.holdsAt(seconds(1000)));
   CHECK_FALSE(plan.preloadsAt(seconds(5000)));
@@ -109,28 +111,28 @@
 
 TEST(KeepAlivePolicy, AHigherPriceNeverHoldsShorter) {
   const IdleGapHistogram own = histogramOf({20, 100, 500, 2500, 12000}, 4);
-  base::Duration former{};
+  base::Duration previous{};
   for (const double price : {1.0, 5.0, 20.0, 80.0, 300.0, 1200.0}) {
     const HoldPlan plan = planOf(own, price);
-    CHECK_TRUE(*plan.hold >= former);
-    former = *plan.hold;
+    CHECK_TRUE(*plan.hold >= previous);
+    previous = *plan.hold;
   }
 }
 
 TEST(KeepAlivePolicy, AColdStartAboveTheTargetCountsMore) {
   const IdleGapHistogram own = histogramOf({10, 20, 40, 80, 160, 320, 640, 1280, 2560, 5120});
   CHECK_TRUE(*planOf(own, 20, 1).hold > *planOf(own, 20).hold);
-  // Below the target nothing changes.
+  // A cold start below the target costs the same as without a target.
   CHECK_TRUE(planOf(own, 20).hold == planOf(own, 20, 5).hold);
 }
 
-TEST(KeepAlivePolicy, WithoutAnyHistoryItHoldsForWhatAColdStartIsWorth) {
+TEST(KeepAlivePolicy, WithoutHistoryAModelIsHeldForTheCostOfAColdStart) {
   const KeepAliveSubject subject{nullptr, all, 0.5, seconds(5)};
   const HoldPlan plan = LearnedKeepAlive({20, 0}).plan(subject);
   CHECK_TRUE(*plan.hold == seconds(200));
 }
 
-TEST(KeepAlivePolicy, ANewModelBeginsWithWhatIsUsual) {
+TEST(KeepAlivePolicy, ANewModelStartsFromTheGapsOfAllModels) {
   all = histogramOf({30});
   const KeepAliveSubject subject{nullptr, all, 0.5, seconds(5)};
   const HoldPlan plan = LearnedKeepAlive({20, 0}).plan(subject);
@@ -172,7 +174,7 @@
 
 TEST_GROUP(LoadTimeEstimate){};
 
-TEST(LoadTimeEstimate, FollowsWhatIsSeenOfEachSource) {
+TEST(LoadTimeEstimate, FollowsTheObservedLoadsOfEachSource) {
   control::LoadTimeEstimate estimate;
   const auto before = estimate.estimate(control::LoadSource::localDisk, 1U << 30U);
   for (int load = 0; load < 100; ++load) {
--- a/test/control/outlier_detector_test.cpp
+++ b/test/control/outlier_detector_test.cpp
@@ -1,10 +1,10 @@
-/// Who is held to fail, by the outcomes that are reported.
+/// Tests which subjects are ejected for the reported outcomes.
 
 #include "control/outlier_detector.h"
 
 #include "walnut/base/ids.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -25,7 +25,7 @@
               std::uint64_t gateway = 1) {
     detector.report({gateway}, {{worker}, answered, failed}, now);
   }
-  /// Failures as several gateways see them, one each.
+  /// Reports one failure of the worker from each of several gateways.
   void fail(const char* worker, std::uint32_t times) {
     for (std::uint64_t gateway = 1; gateway <= times; ++gateway) {
       report(worker, 0, 1, gateway);
@@ -43,7 +43,7 @@
   }
 };
 
-TEST(OutlierDetectorTest, aWorkerThatFailsEverythingIsKnownAfterThreeAttempts) {
+TEST(OutlierDetectorTest, aHealthyWorkerIsEjectedAfterThreeFailures) {
   allAnswer();
   fail("w1", 2);
   CHECK_FALSE(failing("w1"));
@@ -52,12 +52,12 @@
   CHECK_FALSE(detector.failing({"w2"}));
 }
 
-TEST(OutlierDetectorTest, aWorkerThatNobodySawAnswerIsKnownAfterTwo) {
+TEST(OutlierDetectorTest, aWorkerNeverSeenToAnswerIsEjectedAfterTwoFailures) {
   fail("w1", 2);
   CHECK_TRUE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, howOftenItIsAskedDoesNotMatter) {
+TEST(OutlierDetectorTest, theRequestRateDoesNotMatter) {
   allAnswer();
   for (std::uint64_t gateway = 1; gateway <= 3; ++gateway) {
     now += 9s;
@@ -66,14 +66,14 @@
   CHECK_TRUE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, strayErrorsEjectNobody) {
+TEST(OutlierDetectorTest, strayErrorsEjectNoWorker) {
   for (std::uint64_t gateway = 1; gateway <= 50; ++gateway) {
     report("w1", 9, 1, gateway);
     CHECK_FALSE(failing("w1"));
   }
 }
 
-TEST(OutlierDetectorTest, oneGatewayAloneEjectsNobody) {
+TEST(OutlierDetectorTest, aSingleGatewayEjectsNoWorker) {
   allAnswer();
   for (int attempt = 0; attempt < 20; ++attempt) {
     report("w1", 0, 1);
@@ -83,14 +83,14 @@
   CHECK_TRUE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, theOnlyGatewayIsBelieved) {
+TEST(OutlierDetectorTest, theOnlyGatewayCanEjectAWorker) {
   gateways = 1;
   allAnswer();
   report("w1", 0, 3);
   CHECK_TRUE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, whereAllFailAlikeNoneIsAvoided) {
+TEST(OutlierDetectorTest, noWorkerIsEjectedIfAllFailAlike) {
   for (const char* worker : {"w1", "w2", "w3", "w4"}) {
     fail(worker, 5);
   }
@@ -98,7 +98,7 @@
   CHECK_TRUE(detector.takeChanges().empty());
 }
 
-TEST(OutlierDetectorTest, atMostHalfOfAServiceIsAvoided) {
+TEST(OutlierDetectorTest, atMostHalfOfAServiceIsEjected) {
   workers = {{"w1"}, {"w2"}, {"w3"}, {"w4"}, {"w5"}, {"w6"}};
   allAnswer();
   for (const char* worker : {"w1", "w2", "w3", "w4"}) {
@@ -112,7 +112,7 @@
   CHECK_EQUAL(3, count);
 }
 
-TEST(OutlierDetectorTest, itIsTriedAgainAfterAWhileAndItsNextFailureEjectsItAnew) {
+TEST(OutlierDetectorTest, anEjectionEndsAndTheNextFailureEjectsTheWorkerAgain) {
   allAnswer();
   fail("w1", 3);
   CHECK_TRUE(failing("w1"));
@@ -123,14 +123,14 @@
   CHECK_FALSE(failing("w1"));
   report("w1", 0, 1, 4);
   CHECK_TRUE(failing("w1"));
-  // Twice as long after the relapse.
+  // The second ejection lasts twice as long.
   now += 7900ms;
   CHECK_TRUE(failing("w1"));
   now += 200ms;
   CHECK_FALSE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, attemptsThatSucceedAllTheSameEndTheEjectionAtOnce) {
+TEST(OutlierDetectorTest, successfulAttemptsEndTheEjectionImmediately) {
   allAnswer();
   fail("w1", 3);
   CHECK_TRUE(failing("w1"));
@@ -138,7 +138,7 @@
   CHECK_FALSE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, changesAreToldOnceWithWhatDecidedThem) {
+TEST(OutlierDetectorTest, changesAreReportedOnceWithTheirFigures) {
   allAnswer();
   fail("w1", 3);
   review();
@@ -151,7 +151,7 @@
   CHECK_TRUE(changes[0].restShare < 0.1);
 }
 
-TEST(OutlierDetectorTest, aFullWorkerThatAnswersOthersIsOnlySlow) {
+TEST(OutlierDetectorTest, aWorkerAtItsLimitThatAnswersOthersIsNotEjected) {
   allAnswer();
   for (std::uint64_t gateway = 1; gateway <= 10; ++gateway) {
     now += 1s;
@@ -161,7 +161,7 @@
   }
 }
 
-TEST(OutlierDetectorTest, aFullWorkerThatAnswersNobodyHangs) {
+TEST(OutlierDetectorTest, aWorkerAtItsLimitThatAnswersNobodyIsEjected) {
   allAnswer();
   now += 2s;
   detector.report({1}, {{"w1"}, 0, 0, 3}, now);
@@ -172,7 +172,7 @@
   CHECK_TRUE(failing("w1"));
 }
 
-TEST(OutlierDetectorTest, outcomesBeforeALongSilenceCountForNothing) {
+TEST(OutlierDetectorTest, expiredOutcomesAreIgnored) {
   allAnswer();
   fail("w1", 2);
   now += 31s;
--- a/test/control/peer_directory_test.cpp
+++ b/test/control/peer_directory_test.cpp
@@ -47,7 +47,7 @@
   CHECK_EQUAL(1, peers.routerCount());
 }
 
-/// A server that has restarted leaves a connection behind that its peers may not see close.
+/// A restarted server leaves a connection behind, and its peers may not notice that it is closed.
 TEST(PeerDirectory, repliesOverTheConnectionThatWasLastUsed) {
   for (const std::uint64_t number : {1U, 2U}) {
     peers.opened(protocol::ConnectionId{number},
--- a/test/control/placement_policy_test.cpp
+++ b/test/control/placement_policy_test.cpp
@@ -1,6 +1,6 @@
 #include "control/placement_policy.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines `new`.
 #include "control/placement_test.h"
 
 using namespace walnut;
@@ -60,7 +60,7 @@
   STRCMP_EQUAL("e2", std::get<PlaceReplica>(decisions.at(0)).engine.value.c_str());
 }
 
-TEST(PlacementPolicy, noPlacementOnSilentDrainedOrUnledgered) {
+TEST(PlacementPolicy, placesNothingOnUnresponsiveDrainedOrUnledgeredEngines) {
   demand[{"m", ""}] = waiting(1);
   cell.put(control::declare(resource::Kind::drain, "e1", resource::DrainSpec{}));
   unledgered = {{{"e2"}, {0}}, {{"e2"}, {1}}};
@@ -95,7 +95,7 @@
   CHECK_EQUAL(1, places(decide()));
   ++second;
   CHECK_EQUAL(0, places(decide()));
-  engine::Report loaded;  // The weights have arrived.
+  engine::Report loaded;  // The weights are in the cache now.
   loaded.cached = {{"weights-p", engine::CacheTier::localDisk}};
   report("e1", loaded);
   report("e2", loaded);
@@ -116,7 +116,7 @@
   const auto ids = fill({kNow - 30, kNow - 50, kNow - 10, kNow - 20}, {"", "", "", ""});
   demand[{"m", ""}] = waiting(1);
   CHECK_TRUE(unloadsOnly(decide(), ids[1]));
-  CHECK_EQUAL(0, decide().size());  // Its memory is awaited: no second victim.
+  CHECK_EQUAL(0, decide().size());  // The freed memory is reserved: no second eviction.
 }
 
 TEST(PlacementPolicy, memoryThatAnEvictionFreesServesTheNextNeedToo) {
@@ -128,7 +128,7 @@
   CHECK_EQUAL(1, decide().size());
 }
 
-TEST(PlacementPolicy, weighsTheBudgetsOfVictims) {
+TEST(PlacementPolicy, evictionFollowsTheColdStartWeights) {
   addBudget("cold-starts-count", 100);
   addBudget("memory-counts", 0);
   const auto ids =
@@ -138,7 +138,7 @@
   CHECK_TRUE(unloadsOnly(decide(), ids[0]));
 }
 
-TEST(PlacementPolicy, neverEvictsWhatHasDemandOrRuns) {
+TEST(PlacementPolicy, neverEvictsAModelWithDemandOrRunningRequests) {
   fill({kNow - 30, kNow - 50, kNow - 40, kNow - 40}, {"", "", "", ""});
   for (const char* name : {"x0", "x1"}) {
     demand[{name, ""}].running = 1;
@@ -154,14 +154,14 @@
   CHECK_EQUAL(0, decide().size());
 }
 
-TEST(PlacementPolicy, evictsNothingBeforeAllRoutersCouldReport) {
+TEST(PlacementPolicy, evictsNothingBeforeAllRoutersHadTimeToReport) {
   fill({kNow - 30, kNow - 50, kNow - 40, kNow - 40}, {"", "", "", ""});
   demand[{"m", ""}] = waiting(1);
   routersReported = false;
   CHECK_EQUAL(0, decide().size());
 }
 
-TEST(PlacementPolicy, unloadsWhatIsIdleForItsBudgetsTime) {
+TEST(PlacementPolicy, unloadsAModelAfterItsBudgetsIdleTime) {
   struct Case {
     std::uint32_t weight;
     std::int64_t idleSeconds;
@@ -215,15 +215,15 @@
   CHECK_EQUAL(1, unloads(decisions));
 }
 
-TEST(PlacementPolicy, aFormerVersionStaysUntilTheNewOneIsReady) {
-  const base::ReplicaId former = hold(kModel, "e1", 0, control::kModelBytes);
+TEST(PlacementPolicy, aPreviousVersionStaysUntilTheNewOneIsReady) {
+  const base::ReplicaId previous = hold(kModel, "e1", 0, control::kModelBytes);
   usage.recordUse(atSecond(kNow - 5), {"m", ""});
   cell.put(control::declare(resource::Kind::model, "m", control::modelSpec("v2")));
   const auto decisions = decide();
   CHECK_EQUAL(1, places(decisions));
   CHECK_EQUAL(1, decisions.size());
   cell.apply(control::MarkReplicaReady{base::ReplicaId{cell.index}});
-  CHECK_TRUE(unloadsOnly(decide(), former));
+  CHECK_TRUE(unloadsOnly(decide(), previous));
 }
 
 TEST(PlacementPolicy, aLoweredLimitUnloadsTheRest) {
@@ -254,7 +254,7 @@
   CHECK_EQUAL(1, places(decide()));
 }
 
-TEST(PlacementPolicy, aSilentEnginesReplicaIsMadeUpForWithinTheLimit) {
+TEST(PlacementPolicy, aReplicaOnAnUnresponsiveEngineIsReplacedWithinTheLimit) {
   hold(kModel, "e1", 0, control::kModelBytes);
   demand[{"m", ""}] = waiting(1);
   CHECK_EQUAL(0, decide().size());
@@ -270,7 +270,7 @@
   constexpr std::size_t kAccelerators = 4;
   constexpr std::size_t kModels = 6;
   policy = control::PlacementPolicy(2 * kAccelerators);
-  engine::Report cached;  // So that the store's rate holds nothing back.
+  engine::Report cached;  // Cached weights: the store's rate limit does not apply.
   for (std::size_t number = 0; number < kModels; ++number) {
     const std::string name = "y" + std::to_string(number);
     addModel(name, 10);
@@ -290,7 +290,7 @@
   CHECK_EQUAL(kModels, placed);
 }
 
-TEST(PlacementPolicy, needsThatFindNoPlaceDoNotKeepOthersFromBeingLookedAt) {
+TEST(PlacementPolicy, needsWithoutSpaceDoNotStarveOthers) {
   policy = control::PlacementPolicy(1);
   addModel("a-large", 1000);
   addModel("b-small", 10);
@@ -302,39 +302,39 @@
 
 namespace {
 
-const control::DemandTarget kFormerTarget{"m", "", "v1"};
-const control::DemandTarget kFormerAdapterTarget{"m", "a", "v1"};
+const control::DemandTarget kPreviousVersionTarget{"m", "", "v1"};
+const control::DemandTarget kPreviousVersionAdapterTarget{"m", "a", "v1"};
 
 }  // namespace
 
-TEST(PlacementPolicy, aFormerVersionIsPlacedOnceForStreamsThatHaveToGoOnWithIt) {
+TEST(PlacementPolicy, aPreviousVersionIsPlacedOnceForItsOpenStreams) {
   cell.put(control::declare(resource::Kind::model, "m", control::modelSpec("v2")));
-  demand[kFormerTarget] = waiting(40);
+  demand[kPreviousVersionTarget] = waiting(40);
   const auto decisions = decide();
   CHECK_EQUAL(1, places(decisions));
   const auto& placement = std::get<control::PlaceReplica>(decisions.front());
   CHECK_TRUE(placement.servable == kModel);
   CHECK_TRUE(placement.previousVersion);
   cell.apply(control::MarkReplicaReady{base::ReplicaId{cell.index}});
-  CHECK_EQUAL(0, decide().size());  // Neither a second one, nor is it outdated.
+  CHECK_EQUAL(0, decide().size());  // It is neither placed twice nor unloaded as outdated.
   demand.clear();
   CHECK_EQUAL(1, unloads(decide()));
 }
 
-TEST(PlacementPolicy, aFormerVersionIsPlacedWithTheAdapterThatItsStreamsUse) {
+TEST(PlacementPolicy, aPreviousVersionIsPlacedWithTheAdapterOfItsStreams) {
   cell.put(control::declare(resource::Kind::model, "m", control::modelSpec("v2")));
-  demand[kFormerAdapterTarget] = waiting(1);
+  demand[kPreviousVersionAdapterTarget] = waiting(1);
   CHECK_EQUAL(1, places(decide()));
   cell.apply(control::MarkReplicaReady{base::ReplicaId{cell.index}});
-  ++second;  // The store allows one load a second.
+  ++second;  // The store allows one load per second.
   const auto decisions = decide();
   CHECK_EQUAL(1, places(decisions));
   CHECK_TRUE(std::get<control::PlaceReplica>(decisions.front()).servable == control::kAdapter);
 }
 
-TEST(PlacementPolicy, aFormerVersionIsNotPlacedBeyondTheLimitNorOnceItIsDeleted) {
+TEST(PlacementPolicy, aPreviousVersionIsNotPlacedBeyondTheLimitOrAfterDeletion) {
   cell.put(control::declare(resource::Kind::model, "m", control::modelSpec("v2", 0)));
-  demand[kFormerTarget] = waiting(1);
+  demand[kPreviousVersionTarget] = waiting(1);
   CHECK_EQUAL(0, places(decide()));
   cell.put(control::declare(resource::Kind::model, "m", control::modelSpec("v2")));
   demand.clear();
--- a/test/control/placement_test.h
+++ b/test/control/placement_test.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A placement policy over a small cell, for its tests. Include it last.
+/// Test fixture with a placement policy on a small cell. Must be included last.
 
 #include <algorithm>
 #include <cstdint>
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 #include "control/placement_policy.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace walnut::control {
@@ -21,7 +21,7 @@
 inline const resource::Servable kAdapter{"m", "v1", "a"};
 inline constexpr std::int64_t kNow = 2000;
 
-/// @return `count` requests that wait, interactive ones.
+/// @return demand of `count` waiting interactive requests.
 inline TotalDemand waiting(std::uint32_t count, std::int64_t deadline = kNow + 30) {
   TotalDemand demand;
   demand.waitingInteractive = count;
@@ -30,7 +30,7 @@
   return demand;
 }
 
-/// Engines e1 and e2 with two accelerators of 100 bytes; model m of 40, adapter a of 5.
+/// Engines e1 and e2 with two accelerators of 100 bytes each; model m takes 40 bytes, adapter a 5.
 struct PlacementTest : Utest {
   TestCell cell;
   ControllerOptions options;
@@ -53,7 +53,7 @@
     }
   }
 
-  /// Lets the engine answer with this report.
+  /// Makes the engine answer with this report.
   void report(const std::string& name, engine::Report report) {
     report.incarnation.value = kFirstIncarnation;
     const base::EngineId id{name};
@@ -78,7 +78,7 @@
     }
     return models;
   }
-  /// One run over all models; the decisions are applied.
+  /// Runs the policy for all models and applies the decisions.
   std::vector<CommandBody> decide() {
     ledger.rebuild(cell.state);
     const PlacementInput input{atSecond(second), cell.state, ledger,         monitor, demand, usage,
@@ -98,7 +98,7 @@
   std::size_t unloads(const std::vector<CommandBody>& decisions) {
     return decisions.size() - places(decisions);
   }
-  /// Declares a served model of its own name; its versions need `bytes`.
+  /// Declares a model with an active version that needs `bytes`.
   resource::Servable addModel(const std::string& name, std::uint64_t bytes,
                               const std::string& budget = "") {
     const std::string version = name + "-v1";
@@ -117,7 +117,7 @@
     spec.idleUnloadSeconds = 60;
     cell.put(declare(resource::Kind::capacityBudget, name, spec));
   }
-  /// A ready replica.
+  /// Places a replica and marks it as ready.
   base::ReplicaId hold(const resource::Servable& servable, const std::string& engine,
                        std::uint32_t accelerator, std::uint64_t bytes) {
     PlaceReplica placement = placementOf(servable, engine, accelerator);
@@ -127,7 +127,8 @@
     cell.apply(MarkReplicaReady{id});
     return id;
   }
-  /// Fills all four accelerators with idle models x0 .. x3 of 90 bytes, used at these seconds.
+  /// Fills all four accelerators with idle models x0 .. x3 of 90 bytes each, last used at these
+  /// seconds.
   std::vector<base::ReplicaId> fill(const std::vector<std::int64_t>& usedAt,
                                     const std::vector<std::string>& budgets) {
     std::vector<base::ReplicaId> ids;
--- a/test/control/planning_queue_test.cpp
+++ b/test/control/planning_queue_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::PlanningQueue;
@@ -35,7 +35,7 @@
     CHECK_TRUE(models.size() <= 2);
     seen.insert(models.begin(), models.end());
   }
-  CHECK_EQUAL(10, steps);  // No more than two in a step.
+  CHECK_EQUAL(10, steps);  // Each step has at most two models.
   CHECK_EQUAL(20, seen.size());
   CHECK_EQUAL(1, seen.count("m7"));
 }
--- a/test/control/platform_watcher_test.cpp
+++ b/test/control/platform_watcher_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::atSecond;
@@ -56,7 +56,8 @@
 TEST(PlatformWatcher, aMachineIsGoneAfterListsOfTenSecondsWithoutIt) {
   read(10, listOf(8, {"a", "b"}));
   read(11, listOf(9, {"a"}));
-  read(40, listOf(18, {"a"}));  // Late, but of a date less than ten seconds after.
+  // Read late, but dated less than ten seconds after the first list without it.
+  read(40, listOf(18, {"a"}));
   CHECK_TRUE(watcher.goneMachines().empty());
   read(41, listOf(19, {"a"}));
   CHECK_EQUAL(1, watcher.goneMachines().size());
@@ -71,7 +72,7 @@
   CHECK_TRUE(watcher.goneMachines().empty());
 }
 
-TEST(PlatformWatcher, knowsAnEndpointThatAnotherMachineHas) {
+TEST(PlatformWatcher, detectsAnEndpointTakenByAnotherMachine) {
   read(10, listOf(8, {"a"}));
   CHECK_FALSE(watcher.endpointTaken({"a"}, {"127.0.0.1", 9000}));
   CHECK_TRUE(watcher.endpointTaken({"b"}, {"127.0.0.1", 9000}));
--- a/test/control/replica_reconciler_test.cpp
+++ b/test/control/replica_reconciler_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::atSecond;
@@ -16,7 +16,7 @@
 const resource::Servable kOther{"x", "x-v1", ""};
 }  // namespace
 
-/// The leader's side of one engine that is told, step by step, what to report.
+/// Fixture with the leader's view of one engine whose reports the test sets step by step.
 TEST_GROUP(ReplicaReconciler) {
   control::TestCell cell;
   std::uint64_t nextCall = 1;
@@ -58,7 +58,7 @@
         actions.empty() ? nullptr : std::get_if<control::EngineCall>(&actions.back());
     return call == nullptr ? nullptr : std::get_if<engine::Order>(&call->request);
   }
-  /// The engine reports what `report` holds, including what it was sent so far.
+  /// Makes the engine send `report`, with the token of all calls so far.
   void engineReports() {
     monitor.tick(atSecond(++second), true);
     const auto& call = std::get<control::EngineCall>(actions.back());
@@ -86,7 +86,7 @@
   STRCMP_EQUAL("weights", lastOrder()->checkpoint.c_str());
   const engine::FencingToken first = lastOrder()->token;
   orderAnswered(engine::CallResult(base::Error{base::ErrorCode::connectionLost, "", ""}));
-  CHECK_EQUAL(0, ordersAfterReview());  // It may have arrived.
+  CHECK_EQUAL(0, ordersAfterReview());  // The order may have arrived.
   hold(kModel, HeldState::loading);
   engineReports();
   CHECK_EQUAL(0, ordersAfterReview());
@@ -96,8 +96,8 @@
   CHECK_TRUE(lastOrder()->token > first);
 }
 
-TEST(ReplicaReconciler, aNewLeaderTakesOverALoadThatIsUnderWay) {
-  place();  // By a former leader: nothing was ordered in this term.
+TEST(ReplicaReconciler, aNewLeaderTakesOverALoadInProgress) {
+  place();  // Placed by a previous leader: no order was sent in this term.
   CHECK_EQUAL(0, ordersAfterReview());
   hold(kModel, HeldState::loading);
   engineReports();
@@ -108,7 +108,7 @@
   CHECK_TRUE(std::holds_alternative<control::MarkReplicaReady>(review().proposals.at(0)));
 }
 
-TEST(ReplicaReconciler, unloadsAfterTheGraceAndReleasesOnceAbsent) {
+TEST(ReplicaReconciler, unloadsAfterTheGracePeriodAndReleasesOnceAbsent) {
   const base::ReplicaId id = place();
   apply(control::MarkReplicaReady{id});
   apply(control::BeginUnload{id});
@@ -163,7 +163,7 @@
   CHECK_TRUE(std::holds_alternative<control::BeginUnload>(review().proposals.at(0)));
 }
 
-TEST(ReplicaReconciler, unloadsWhatTheLedgerDoesNotKnowAndBarsTheAccelerator) {
+TEST(ReplicaReconciler, unloadsUnledgeredServablesAndBlocksTheAccelerator) {
   hold(kOther, HeldState::ready);
   engineReports();
   review();
@@ -177,7 +177,7 @@
   CHECK_TRUE(reconciler.unledgered().empty());
 }
 
-TEST(ReplicaReconciler, nothingFollowsFromAReportOfAnotherIncarnation) {
+TEST(ReplicaReconciler, ignoresAReportOfAnotherIncarnation) {
   place();
   report.incarnation.value = control::kFirstIncarnation + 1;
   hold(kModel, HeldState::ready);
--- a/test/control/request_answers_test.cpp
+++ b/test/control/request_answers_test.cpp
@@ -1,6 +1,6 @@
 #include "control/request_answers.h"
 
-// Last: its macro for new breaks the headers of the library.
+// Must be included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut::control;
--- a/test/control/store_budget_test.cpp
+++ b/test/control/store_budget_test.cpp
@@ -1,6 +1,6 @@
-/// What the placement policy reads from the weight store, and for whom.
+/// Tests how the placement policy shares the reads from the weight store between needs.
 
-// Last: it redefines new.
+// Must be included last: it redefines `new`.
 #include "control/placement_test.h"
 
 using namespace walnut;
@@ -10,7 +10,7 @@
 using control::TotalDemand;
 using control::waiting;
 
-/// Pool "busy" allows many loads a second, and this many at once.
+/// Fixture with a pool "busy" that allows many loads per second and kReads at once.
 struct StoreBudgetTest : control::PlacementTest {
   static constexpr std::uint32_t kReads = 4;
 
@@ -26,7 +26,8 @@
     model.pool = "busy";
     cell.put(control::declare(resource::Kind::model, name, model));
   }
-  /// Runs until nothing more is placed. @return how many replicas were.
+  /// Runs the policy until nothing more is placed.
+  /// @return the number of placed replicas.
   std::size_t placeAll() {
     std::size_t placed = 0;
     for (std::size_t run = 0; run < 20; ++run, ++second) {
@@ -63,7 +64,7 @@
   }
   demand[{"first", ""}] = waiting(1, kNow + 10);
   demand[{"second", ""}] = waiting(1, kNow + 20);
-  CHECK_EQUAL(1U, places(decide()));  // The rate allows one.
+  CHECK_EQUAL(1U, places(decide()));  // The rate limit allows one load.
   demand[{"third", ""}] = waiting(1, kNow + 30);
   ++second;
   const auto decisions = decide();
@@ -71,7 +72,7 @@
   STRCMP_EQUAL("second", std::get<PlaceReplica>(decisions.at(0)).servable.model.c_str());
 }
 
-TEST(StoreBudget, loadingAheadTakesFreeMemoryAloneAndHalfOfTheReads) {
+TEST(StoreBudget, loadingAheadUsesOnlyFreeMemoryAndHalfOfTheReads) {
   declarePool();
   resource::CapacityBudgetSpec resident;
   resident.keepAlive = resource::KeepAlive::resident;
@@ -94,7 +95,7 @@
   CHECK_EQUAL(0U, decide().size());
 }
 
-TEST(StoreBudget, theEndOfAHoldTimeIsAWakeup) {
+TEST(StoreBudget, theEndOfAHoldTimeSchedulesARun) {
   addBudget("b", 0);
   const auto servable = addModel("idle", 10, "b");
   hold(servable, "e1", 0, 10);
--- a/test/control/usage_tracker_test.cpp
+++ b/test/control/usage_tracker_test.cpp
@@ -14,10 +14,10 @@
 
 TEST_GROUP(IdleGaps){};
 
-TEST(IdleGaps, AGapIsBetweenTwoUsesAndAnAdaptersUseIsOneOfItsModel) {
+TEST(IdleGaps, AreRecordedBetweenUsesOfATargetOrItsAdapters) {
   control::UsageTracker usage(atSecond(0));
   usage.recordUse(atSecond(100), {"m", ""});
-  POINTERS_EQUAL(nullptr, usage.gapsOf({"m", ""}));  // Nothing is known from before.
+  POINTERS_EQUAL(nullptr, usage.gapsOf({"m", ""}));  // No earlier use is known.
   usage.recordUse(atSecond(160), {"m", "a"});
   usage.recordUse(atSecond(160), {"m", ""});
   usage.recordUse(atSecond(150), {"m", ""});  // A late report of an earlier use.
@@ -26,7 +26,7 @@
   DOUBLES_EQUAL(1, usage.allGaps().total(), 0);
 }
 
-TEST(IdleGaps, GoWithWhatIsDeleted) {
+TEST(IdleGaps, AreRemovedWithADeletedModelOrAdapter) {
   control::UsageTracker usage(atSecond(0));
   for (const double at : {100.0, 200.0}) {
     usage.recordUse(atSecond(at), {"m", "a"});
--- a/test/control/watch_sessions_test.cpp
+++ b/test/control/watch_sessions_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 #include "control/operator_watches.h"
 
 using namespace walnut;
@@ -88,7 +88,7 @@
   CHECK_EQUAL(1, delta(1).changes.size());
 }
 
-TEST(WatchSessions, aHigherIndexWithoutChangesWaitsLonger) {
+TEST(WatchSessions, anIndexOnlyDeltaIsSentLater) {
   watch(cell.index);
   advance({});
   cell.apply(control::ClaimKeys{{{"key", {"request"}, cell.now}}});
@@ -109,7 +109,7 @@
   CHECK_EQUAL(cell.index, delta(1).toIndex);
 }
 
-TEST(WatchSessions, aWatcherBehindTheHistoryStartsAnew) {
+TEST(WatchSessions, aWatcherBehindTheHistoryGetsTheWholeState) {
   for (int number = 0; number < 20; ++number) {
     change();
   }
@@ -119,7 +119,7 @@
   CHECK_EQUAL(cell.index, page(0).index);
 }
 
-TEST(WatchSessions, aWatcherAheadOfThisServerIsToldNoLowerIndex) {
+TEST(WatchSessions, aWatcherAheadOfThisServerGetsNoLowerIndex) {
   const consensus::LogIndex ahead = cell.index + 5;
   watch(ahead);
   advance({});
@@ -177,7 +177,7 @@
   CHECK_TRUE(std::holds_alternative<protocol::ResourceDeleted>(events().changes.at(0)));
 }
 
-TEST(OperatorWatches, endsOneThatIsTooFarBehind) {
+TEST(OperatorWatches, endsAWatchThatIsTooFarBehind) {
   for (int number = 0; number < 20; ++number) {
     cell.put(control::declare(resource::Kind::model, "other", control::modelSpec("")));
   }
