--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -11,7 +11,7 @@
 
 /// Routers report their complete demand to a new leader within a second; until this time has passed
 /// nothing counts as idle.
-constexpr base::Duration kSettleTime = std::chrono::seconds(2);
+constexpr base::Duration kRouterReportTime = std::chrono::seconds(2);
 
 /// @return the replica whose state the command changes, if any.
 std::optional<base::ReplicaId> replicaOf(const CommandBody& body) {
@@ -330,7 +330,7 @@
                              usage_,
                              reconciler_.unledgered(),
                              changingReplicas_,
-                             now >= startedAt_ + kSettleTime};
+                             now >= startedAt_ + kRouterReportTime};
   for (CommandBody& body : policy_.decide(input, std::move(models), usage_)) {
     propose(now, std::move(body), true);
   }
--- a/src/control/outlier_detector.h
+++ b/src/control/outlier_detector.h
@@ -64,9 +64,9 @@
 ///
 /// A subject counts as failing, and is ejected, once at least half of its latest attempts failed
 /// and clearly more than those of the others of its group: if all fail alike, avoiding one of them
-/// gains nothing. A single reporter never causes an ejection, because the reporter itself may be
-/// faulty. An ejection ends after its ejection time, so that the subject gets requests again, or as
-/// soon as attempts that were made in spite of it succeed.
+/// gains nothing. A single reporter, unless it is the only one, never causes an ejection, because
+/// the reporter itself may be faulty. An ejection ends after its ejection time, so that the subject
+/// gets requests again, or as soon as attempts that were made in spite of it succeed.
 ///
 /// @tparam Subject id of a worker or an engine.
 /// @tparam Reporter id of the process that makes the attempts.
--- a/src/control/target_planner.cpp
+++ b/src/control/target_planner.cpp
@@ -60,7 +60,7 @@
                        return std::tie(one.urgency, one.deadline) <
                               std::tie(other.urgency, other.deadline);
                      });
-    orderSurplus();
+    sortSurplus();
     plan_.dueAt = std::move(dueAt_);
     return std::move(plan_);
   }
@@ -424,7 +424,7 @@
     surplus_.insert(replica.id);
   }
 
-  void orderSurplus() {
+  void sortSurplus() {
     for (const bool adapters : {true, false}) {
       for (const base::ReplicaId id : surplus_) {
         const bool isAdapter = !input_.ledger.find(id)->servable.adapter.empty();
--- a/test/control/controller_cell.h
+++ b/test/control/controller_cell.h
@@ -26,7 +26,7 @@
   static constexpr base::Duration kLoadTime = std::chrono::seconds(1);
 
   base::Incarnation incarnation{kFirstIncarnation};
-  engine::FencingToken greatest;
+  engine::FencingToken greatestToken;
   /// Held servables and the time when each is ready.
   std::map<resource::Servable, base::TimePoint> held;
   std::size_t loadsStarted = 0;
@@ -35,7 +35,7 @@
 
   void restart() {
     ++incarnation.value;
-    greatest = {};
+    greatestToken = {};
     held.clear();
   }
 
@@ -50,28 +50,28 @@
     if (order.incarnation != incarnation) {
       return base::Error{base::ErrorCode::wrongIncarnation, "", ""};
     }
-    if (order.token <= greatest) {
+    if (order.token <= greatestToken) {
       ++staleOrders;
       return base::Error{base::ErrorCode::staleOrder, "", ""};
     }
-    greatest = order.token;
+    greatestToken = order.token;
     if (order.action == engine::OrderAction::unload) {
       held.erase(order.servable);
     } else if (held.try_emplace(order.servable, now + kLoadTime).second) {
       ++loadsStarted;
     }
-    return engine::CallResult(engine::OrderAccepted{greatest});
+    return engine::CallResult(engine::OrderAccepted{greatestToken});
   }
 
  private:
   engine::CallResult report(base::TimePoint now, const engine::ReportRequest& request) {
-    if (request.token.term < greatest.term) {
+    if (request.token.term < greatestToken.term) {
       return base::Error{base::ErrorCode::staleOrder, "", ""};
     }
-    greatest = std::max(greatest, request.token);
+    greatestToken = std::max(greatestToken, request.token);
     engine::Report report;
     report.incarnation = incarnation;
-    report.greatestToken = greatest;
+    report.greatestToken = greatestToken;
     report.acceleratorBytes.assign(kAccelerators, kMemory);
     for (const auto& [servable, readyAt] : held) {
       const auto state = now < readyAt ? engine::HeldState::loading : engine::HeldState::ready;
@@ -166,7 +166,9 @@
     }
   }
   /// Sets whether messages between this server and the others are lost.
-  void setCut(std::size_t server, bool cut) { servers_[server].cut = cut; }
+  void setPartitioned(std::size_t server, bool partitioned) {
+    servers_[server].partitioned = partitioned;
+  }
 
   void stop(std::size_t server) { input(server, PlannedStop{}); }
 
@@ -253,7 +255,7 @@
   struct Server {
     std::unique_ptr<Controller> controller;
     bool down = false;
-    bool cut = false;
+    bool partitioned = false;
     std::vector<ControllerInput> waiting;
   };
 
@@ -311,7 +313,7 @@
     }
   }
   void deliver(std::size_t from, std::size_t to, const protocol::Message& message) {
-    if (servers_[from].cut || servers_[to].cut) {
+    if (servers_[from].partitioned || servers_[to].partitioned) {
       return;
     }
     after(kLatency, [this, from, to, message] {
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -58,9 +58,9 @@
   const std::size_t leader = cell.awaitLeader();
   const std::size_t follower = otherThan(leader);
   cell.run(seconds(1));  // Time for the follower to learn of the leader.
-  cell.setCut(follower, true);
+  cell.setPartitioned(follower, true);
   const std::uint64_t call = cell.beginCall(follower, putDrain("r1", "x"));
-  cell.setCut(follower, false);
+  cell.setPartitioned(follower, false);
   CHECK_FALSE(cell.awaitReply(call).error.has_value());
   CHECK_TRUE(cell.leader() == leader);
 }
@@ -81,7 +81,7 @@
 
 TEST(Controller, refusesAMalformedWriteAtOnce) {
   ControllerCell cell(3);
-  cell.setCut(0, true);
+  cell.setPartitioned(0, true);
   CHECK_TRUE(hasError(cell.call(0, putDrain("", "x")), base::ErrorCode::missingField));
 }
 
@@ -90,7 +90,7 @@
   const std::size_t leader = cell.awaitLeader();
   const std::size_t follower = otherThan(leader);
   for (std::size_t server = 0; server < 3; ++server) {
-    cell.setCut(server, true);
+    cell.setPartitioned(server, true);
   }
   const std::uint64_t proposed = cell.beginCall(leader, putDrain("r1", "x"));
   cell.run(seconds(2));  // The follower no longer knows a leader.
@@ -104,10 +104,10 @@
 TEST(Controller, aWriteSentToAPartitionedLeaderIsAnsweredByTheNextLeader) {
   ControllerCell cell(3);
   const std::size_t previousLeader = cell.awaitLeader();
-  cell.setCut(previousLeader, true);
+  cell.setPartitioned(previousLeader, true);
   const std::uint64_t call = cell.beginCall(previousLeader, putDrain("r1", "x"));
   cell.run(seconds(2));
-  cell.setCut(previousLeader, false);
+  cell.setPartitioned(previousLeader, false);
   CHECK_FALSE(cell.awaitReply(call).error.has_value());
 }
 
@@ -115,7 +115,7 @@
   ControllerCell cell(3);
   const std::size_t previousLeader = cell.awaitLeader();
   cell.call(previousLeader, putDrain("r1", "x"));
-  cell.setCut(previousLeader, true);
+  cell.setPartitioned(previousLeader, true);
   const std::uint64_t read =
       cell.beginCall(previousLeader, protocol::GetResource{{Kind::drain, "e"}});
   CHECK_TRUE(hasError(cell.awaitReply(read), base::ErrorCode::noQuorum));
@@ -154,13 +154,13 @@
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   const auto connection = cell.connectRouter(leader, 1);
-  cell.setCut(leader, true);
+  cell.setPartitioned(leader, true);
   protocol::ClaimRequest claim;
   claim.claim = {"key", base::RequestId{"r"}, cell.now};
   cell.send(leader, connection, claim);
   cell.run(seconds(2));
   CHECK_TRUE(cell.toRouters.empty());
-  cell.setCut(leader, false);  // The next leader's entry now replaces its entry.
+  cell.setPartitioned(leader, false);  // The next leader's entry now replaces its entry.
   cell.run(seconds(2));
   const auto& reply = std::get<protocol::ClaimReply>(cell.toRouters.at(0).second);
   CHECK_TRUE(reply.outcome == ClaimOutcome::unavailable);
@@ -357,12 +357,12 @@
   ControllerCell cell(3, 0, options);
   const std::size_t leader = cell.awaitLeader();
   const std::size_t follower = otherThan(leader);
-  cell.setCut(follower, true);
+  cell.setPartitioned(follower, true);
   for (int number = 0; number < 100; ++number) {
     cell.put(leader, declare(Kind::drain, "e" + std::to_string(number), resource::DrainSpec{}));
   }
   CHECK_TRUE(cell.status(leader).firstIndex > 50);
-  cell.setCut(follower, false);
+  cell.setPartitioned(follower, false);
   cell.run(seconds(3));
   const auto connection = cell.connectRouter(follower, 1);
   cell.send(follower, connection, protocol::WatchRequest{1});
@@ -387,7 +387,7 @@
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   for (std::size_t server = 0; server < 3; ++server) {
-    cell.setCut(server, true);
+    cell.setPartitioned(server, true);
   }
   cell.beginCall(leader, putDrain("r1", "x"));
   cell.stop(leader);
