--- a/test/control/cell_placement_test.cpp
+++ b/test/control/cell_placement_test.cpp
@@ -65,7 +65,8 @@
          state.place(placement);
          placement = placementOf(kAdapter, "e1");
        }},
-      {"adapter beside its model", ErrorCode::modelNotLoaded, "servable.adapter",
+      {"adapter on another accelerator than its model", ErrorCode::modelNotLoaded,
+       "servable.adapter",
        [](TestCell& state, PlaceReplica& placement) {
          state.apply(MarkReplicaReady{state.place(placement)});
          placement = placementOf(kAdapter, "e1", 1);
@@ -98,11 +99,11 @@
        [](TestCell& state, PlaceReplica&) { putPool(state, {"zone-a"}, "large"); }},
       {"unknown accelerator", ErrorCode::outOfRange, "accelerator",
        [](TestCell&, PlaceReplica& placement) { placement.accelerator.value = kAccelerators; }},
-      {"other bytes than the spec", ErrorCode::outOfRange, "bytes",
+      {"bytes that differ from the spec", ErrorCode::outOfRange, "bytes",
        [](TestCell&, PlaceReplica& placement) { --placement.bytes; }},
-      {"held there", ErrorCode::alreadyExists, "servable",
+      {"already held on the accelerator", ErrorCode::alreadyExists, "servable",
        [](TestCell& state, PlaceReplica& placement) { state.place(placement); }},
-      {"being unloaded beside", ErrorCode::alreadyExists, "servable",
+      {"being unloaded on another accelerator", ErrorCode::alreadyExists, "servable",
        [](TestCell& state, PlaceReplica&) {
          state.apply(BeginUnload{state.place(placementOf(kModel, "e1", 1))});
        }},
--- a/test/control/cell_write_test.cpp
+++ b/test/control/cell_write_test.cpp
@@ -40,11 +40,11 @@
     std::function<WriteOutcome(TestCell&)> write;
   };
   const std::vector<Case> cases = {
-      {"create of what exists", ErrorCode::alreadyExists, "name",
+      {"create an existing resource", ErrorCode::alreadyExists, "name",
        [](TestCell& state) { return state.put(declare(Kind::model, "m", modelSpec("")), 0); }},
-      {"put over another version", ErrorCode::versionConflict, "expected_version",
+      {"put with an outdated version", ErrorCode::versionConflict, "expected_version",
        [](TestCell& state) { return state.put(declare(Kind::model, "m", modelSpec("")), 1); }},
-      {"replace of what is missing", ErrorCode::versionConflict, "expected_version",
+      {"replace a missing resource", ErrorCode::versionConflict, "expected_version",
        [](TestCell& state) { return state.put(declare(Kind::model, "n", modelSpec("")), 1); }},
       {"changed model version", ErrorCode::outOfRange, "spec",
        [](TestCell& state) {
@@ -52,9 +52,9 @@
          ++spec.acceleratorBytes;
          return state.put(declare(Kind::modelVersion, "v1", spec));
        }},
-      {"model of an adapter's name", ErrorCode::alreadyExists, "name",
+      {"model with the name of an adapter", ErrorCode::alreadyExists, "name",
        [](TestCell& state) { return state.put(declare(Kind::model, "a", modelSpec(""))); }},
-      {"adapter of a model's name", ErrorCode::alreadyExists, "name",
+      {"adapter with the name of a model", ErrorCode::alreadyExists, "name",
        [](TestCell& state) { return state.put(declare(Kind::adapter, "m", adapterSpec("m"))); }},
       {"version of a missing model", ErrorCode::referenceMissing, "spec.model",
        [](TestCell& state) {
@@ -68,13 +68,13 @@
        [](TestCell& state) { return state.put(declare(Kind::model, "m", withBudget("b"))); }},
       {"version of another model", ErrorCode::outOfRange, "spec.active_version",
        [](TestCell& state) { return state.put(declare(Kind::model, "n", modelSpec("v1"))); }},
-      {"delete of what is missing", ErrorCode::notFound, "name",
+      {"delete a missing resource", ErrorCode::notFound, "name",
        [](TestCell& state) { return state.erase(Kind::model, "n"); }},
-      {"delete of another version", ErrorCode::versionConflict, "expected_version",
+      {"delete with an outdated version", ErrorCode::versionConflict, "expected_version",
        [](TestCell& state) { return state.erase(Kind::adapter, "a", 1); }},
-      {"delete of a model in use", ErrorCode::referenceInUse, "name",
+      {"delete a referenced model", ErrorCode::referenceInUse, "name",
        [](TestCell& state) { return state.erase(Kind::model, "m"); }},
-      {"delete of the active version", ErrorCode::referenceInUse, "name",
+      {"delete the active version", ErrorCode::referenceInUse, "name",
        [](TestCell& state) { return state.erase(Kind::modelVersion, "v1"); }},
       {"malformed spec", ErrorCode::wrongType, "spec",
        [](TestCell& state) { return state.put(declare(Kind::model, "m", versionSpec("m"))); }},
