--- a/test/control/cell_placement_test.cpp
+++ b/test/control/cell_placement_test.cpp
@@ -205,7 +205,8 @@
   cell.apply(RegisterEngine{engineOf("e1")});
   LONGS_EQUAL(2, cell.state.replicas().size());
   cell.apply(RegisterEngine{engineOf("e1", 0)});
-  LONGS_EQUAL_TEXT(2, cell.state.replicas().size(), "zero is unknown, not another life");
+  LONGS_EQUAL_TEXT(2, cell.state.replicas().size(),
+                   "incarnation 0 means unknown, not a new incarnation");
   LONGS_EQUAL(kFirstIncarnation, cell.state.engines().at({"e1"}).incarnation.value);
   cell.apply(RegisterEngine{engineOf("e1", kFirstIncarnation + 1)});
   LONGS_EQUAL(1, cell.state.replicas().size());
@@ -272,10 +273,10 @@
   const base::ReplicaId model = cell.place(placementOf(kModel, "e1"));
   cell.apply(MarkReplicaReady{model});
   const base::ReplicaId adapter = cell.place(placementOf(kAdapter, "e1"));
-  const base::ReplicaId beside = cell.place(placementOf(kModel, "e1", 1));
+  const base::ReplicaId otherReplica = cell.place(placementOf(kModel, "e1", 1));
   cell.apply(BeginUnload{model});
   CHECK_TRUE(cell.state.replicas().at(adapter).state == ReplicaState::unloading);
-  CHECK_TRUE(cell.state.replicas().at(beside).state == ReplicaState::reserved);
+  CHECK_TRUE(cell.state.replicas().at(otherReplica).state == ReplicaState::reserved);
   LONGS_EQUAL(2, cell.state.history().since(cell.index - 1)->size());
 }
 
--- a/test/control/cell_property_test.cpp
+++ b/test/control/cell_property_test.cpp
@@ -90,8 +90,8 @@
   }
 
  private:
-  std::string numbered(const char* prefix, std::uint64_t most) {
-    return prefix + std::to_string(random_.uniform(1, most));
+  std::string numbered(const char* prefix, std::uint64_t max) {
+    return prefix + std::to_string(random_.uniform(1, max));
   }
   std::string requestId() { return numbered("request", 300); }
   base::EngineId engineId() { return {numbered("e", 3)}; }
@@ -144,10 +144,10 @@
   }
   resource::Engine drawEngine() {
     resource::Engine engine = engineOf(engineId().value);
-    const bool sameLife = random_.chance(0.8);
+    const bool sameIncarnation = random_.chance(0.8);
     const auto known = state_.engines().find(engine.id);
     if (known != state_.engines().end()) {
-      engine.incarnation.value = known->second.incarnation.value + (sameLife ? 0 : 1);
+      engine.incarnation.value = known->second.incarnation.value + (sameIncarnation ? 0 : 1);
     }
     const bool leaving = random_.chance(0.1);
     engine.status = leaving ? resource::EngineStatus::leaving : resource::EngineStatus::live;
--- a/test/control/cell_snapshot_test.cpp
+++ b/test/control/cell_snapshot_test.cpp
@@ -87,7 +87,7 @@
   CHECK_TRUE(outcomes.at(1) == ClaimOutcome::granted);
 }
 
-TEST(CellSnapshot, truncatedOrExtendedIsRefusedAndChangesNothing) {
+TEST(CellSnapshot, aTruncatedOrExtendedSnapshotIsRefusedAndChangesNothing) {
   const std::string snapshot = cell.state.encodeSnapshot();
   TestCell other;
   other.declareAll();
@@ -105,7 +105,7 @@
   CHECK_TRUE(other.state.encodeSnapshot() == before);
 }
 
-TEST(CellSnapshot, changedBytesAreRefusedOrYieldAWholeState) {
+TEST(CellSnapshot, corruptedSnapshotsAreRefusedOrYieldAConsistentState) {
   const std::string snapshot = cell.state.encodeSnapshot();
   base::Random random(1);
   for (int round = 0; round < 5000; ++round) {
@@ -121,26 +121,29 @@
   }
 }
 
-TEST(CellSnapshot, contradictionsAreRefused) {
+TEST(CellSnapshot, inconsistentSnapshotsAreRefused) {
   struct Case {
     const char* name;
-    std::function<void(CellContents&, resource::Replica&)> spoil;
+    std::function<void(CellContents&, resource::Replica&)> corrupt;
   };
   const std::vector<Case> cases = {
       {"replica of an unknown engine",
-       [](CellContents&, resource::Replica& held) { held.engine.value = "e9"; }},
+       [](CellContents&, resource::Replica& corrupted) { corrupted.engine.value = "e9"; }},
       {"replica of another incarnation",
-       [](CellContents&, resource::Replica& held) { ++held.incarnation.value; }},
+       [](CellContents&, resource::Replica& corrupted) { ++corrupted.incarnation.value; }},
       {"replica on an unknown accelerator",
-       [](CellContents&, resource::Replica& held) { held.accelerator.value = kAccelerators; }},
-      {"replica under another id", [](CellContents&, resource::Replica& held) { ++held.id.value; }},
+       [](CellContents&, resource::Replica& corrupted) {
+         corrupted.accelerator.value = kAccelerators;
+       }},
+      {"replica under another id",
+       [](CellContents&, resource::Replica& corrupted) { ++corrupted.id.value; }},
       {"replica in an unknown state",
-       [](CellContents&, resource::Replica& held) {
-         held.state = static_cast<resource::ReplicaState>(3);
+       [](CellContents&, resource::Replica& corrupted) {
+         corrupted.state = static_cast<resource::ReplicaState>(3);
        }},
       {"overcommitted accelerator",
-       [](CellContents& contents, resource::Replica& held) {
-         resource::Replica second = held;
+       [](CellContents& contents, resource::Replica& corrupted) {
+         resource::Replica second = corrupted;
          second.id.value += 1;
          second.bytes = kMemory - kModelBytes + 1;
          contents.replicas[second.id] = second;
@@ -175,7 +178,7 @@
   const std::string before = other.state.encodeSnapshot();
   for (const Case& fault : cases) {
     CellContents contents = contentsOf(cell.state);
-    fault.spoil(contents, contents.replicas.at(replica));
+    fault.corrupt(contents, contents.replicas.at(replica));
     const auto result = other.state.restoreSnapshot(encodeContents(contents));
     CHECK_TRUE_TEXT(result.has_error(), fault.name);
     CHECK_TRUE_TEXT(result.error().code == ErrorCode::malformedInput, fault.name);
--- a/test/control/cell_write_test.cpp
+++ b/test/control/cell_write_test.cpp
@@ -127,7 +127,7 @@
   LONGS_EQUAL(0, cell.state.history().since(cell.index - 2)->size());
 }
 
-TEST(CellWrite, requestIdOfAnotherRequest) {
+TEST(CellWrite, aReusedRequestIdIsRefused) {
   const PutResource first{"id", {}, declare(Kind::model, "n", modelSpec(""))};
   cell.apply(first);
   PutResource other = first;
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -79,7 +79,7 @@
       hasError(cell.call(next, putDrain("r1", "different")), base::ErrorCode::requestIdReused));
 }
 
-TEST(Controller, refusesAMalformedWriteAtOnce) {
+TEST(Controller, refusesAMalformedWriteImmediately) {
   ControllerCell cell(3);
   cell.setPartitioned(0, true);
   CHECK_TRUE(hasError(cell.call(0, putDrain("", "x")), base::ErrorCode::missingField));
@@ -94,10 +94,10 @@
   }
   const std::uint64_t proposed = cell.beginCall(leader, putDrain("r1", "x"));
   cell.run(seconds(2));  // The follower no longer knows a leader.
-  const std::uint64_t held = cell.beginCall(follower, putDrain("r2", "x"));
+  const std::uint64_t notProposed = cell.beginCall(follower, putDrain("r2", "x"));
   const std::uint64_t read = cell.beginCall(follower, protocol::ListResources{});
   CHECK_TRUE(hasError(cell.awaitReply(proposed), base::ErrorCode::outcomeUnknown));
-  CHECK_TRUE(hasError(cell.awaitReply(held), base::ErrorCode::noQuorum));
+  CHECK_TRUE(hasError(cell.awaitReply(notProposed), base::ErrorCode::noQuorum));
   CHECK_TRUE(hasError(cell.awaitReply(read), base::ErrorCode::noQuorum));
 }
 
@@ -125,15 +125,15 @@
   ControllerCell cell(3);
   const std::size_t leader = cell.awaitLeader();
   const auto connection = cell.connectRouter(leader, 1);
-  const auto ask = [&](std::size_t server, std::uint64_t sequence, const char* request) {
+  const auto sendClaim = [&](std::size_t server, std::uint64_t sequence, const char* request) {
     protocol::ClaimRequest claim;
     claim.sequence = sequence;
     claim.claim = {"key", base::RequestId{request}, cell.now};
     cell.send(server, connection, claim);
   };
-  ask(leader, 1, "first");
-  ask(leader, 2, "second");
-  ask(leader, 3, "first");
+  sendClaim(leader, 1, "first");
+  sendClaim(leader, 2, "second");
+  sendClaim(leader, 3, "first");
   cell.run(milliseconds(100));
   const std::vector<ClaimOutcome> expected{ClaimOutcome::granted, ClaimOutcome::duplicate,
                                            ClaimOutcome::granted};
@@ -145,7 +145,7 @@
   cell.toRouters.clear();
   const std::size_t follower = otherThan(leader);
   cell.connectRouter(follower, 1);
-  ask(follower, 4, "third");
+  sendClaim(follower, 4, "third");
   const auto& refused = std::get<protocol::ClaimReply>(cell.toRouters.at(0).second);
   CHECK_TRUE(refused.outcome == ClaimOutcome::unavailable);
 }
@@ -345,9 +345,9 @@
   const protocol::ChangeMember remove{"r2", true, cell.member(otherThan(leader))};
   CHECK_FALSE(cell.call(leader, remove).error.has_value());
   CHECK_EQUAL(3, cell.status(leader).membership.members.size());
-  protocol::ChangeMember taken{"r3", false, cell.member(3)};
-  taken.member.peerEndpoint.port = 1;
-  CHECK_TRUE(hasError(cell.call(leader, taken), base::ErrorCode::alreadyExists));
+  protocol::ChangeMember withUsedId{"r3", false, cell.member(3)};
+  withUsedId.member.peerEndpoint.port = 1;
+  CHECK_TRUE(hasError(cell.call(leader, withUsedId), base::ErrorCode::alreadyExists));
 }
 
 TEST(Controller, aServerThatMissedManyChangesCatchesUpBySnapshot) {
