--- a/src/control/keep_alive_table.cpp
+++ b/src/control/keep_alive_table.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-/// A plan is made again after this long, also within an idle period.
+/// A plan is recomputed after this time even within an idle period.
 constexpr base::Duration kPlanLifetime = std::chrono::minutes(5);
-/// While a target is used again and again, its plan is made at most this often.
-constexpr base::Duration kPlanRest = std::chrono::seconds(20);
+/// Shortest time between two plans of a target that is used repeatedly.
+constexpr base::Duration kMinReplanInterval = std::chrono::seconds(20);
 
-HeldWeights weightsOf(const CellState& state, const DemandTarget& target,
+WeightsInfo weightsOf(const CellState& state, const DemandTarget& target,
                       const resource::ModelSpec& model) {
   if (!target.adapter.empty()) {
     const auto* adapter = state.findAdapter(target.adapter);
-    return adapter == nullptr ? HeldWeights{}
-                              : HeldWeights{adapter->checkpoint, adapter->checkpointBytes,
+    return adapter == nullptr ? WeightsInfo{}
+                              : WeightsInfo{adapter->checkpoint, adapter->checkpointBytes,
                                             adapter->acceleratorBytes};
   }
   const auto* version = state.findModelVersion(model.activeVersion);
-  return version == nullptr ? HeldWeights{}
-                            : HeldWeights{version->checkpoint, version->checkpointBytes,
+  return version == nullptr ? WeightsInfo{}
+                            : WeightsInfo{version->checkpoint, version->checkpointBytes,
                                           version->acceleratorBytes};
 }
 
@@ -29,7 +29,8 @@
   return pool.machineClass.empty() || pool.machineClass == engine.machineClass;
 }
 
-/// @return the part of an accelerator that the bytes are, by the first engine of the pool.
+/// @return the fraction of an accelerator's memory that the bytes take, based on the first engine
+/// of the pool.
 double shareOf(const CellState& state, std::uint64_t bytes, const resource::EnginePoolSpec& pool) {
   for (const auto& [id, engine] : state.engines()) {
     if (inPool(engine, pool) && !engine.acceleratorBytes.empty() &&
@@ -53,20 +54,21 @@
                                        const resource::ModelSpec& model) {
   const base::TimePoint lastUse = usage.lastUse(target);
   const resource::Version version = budgetVersion(input.state, model);
-  const auto [found, missing] = entries_.try_emplace(target);
+  const auto [found, added] = entries_.try_emplace(target);
   Entry& entry = found->second;
-  const bool sameUse = entry.lastUse == lastUse && input.now < entry.madeAt + kPlanLifetime;
-  const bool rests = input.now < entry.madeAt + kPlanRest;
-  if (missing || entry.budgetVersion != version || (!sameUse && !rests)) {
-    entry = {make(input, usage, target, model), lastUse, input.now, version};
+  const bool isCurrent = entry.lastUse == lastUse && input.now < entry.computedAt + kPlanLifetime;
+  const bool isTooRecent = input.now < entry.computedAt + kMinReplanInterval;
+  if (added || entry.budgetVersion != version || (!isCurrent && !isTooRecent)) {
+    entry = {computePlan(input, usage, target, model), lastUse, input.now, version};
   }
   return entry.plan;
 }
 
-HoldPlan KeepAliveTable::make(const PlacementInput& input, const UsageTracker& usage,
-                              const DemandTarget& target, const resource::ModelSpec& model) const {
+HoldPlan KeepAliveTable::computePlan(const PlacementInput& input, const UsageTracker& usage,
+                                     const DemandTarget& target,
+                                     const resource::ModelSpec& model) const {
   const resource::CapacityBudgetSpec budget = input.state.budgetOf(model);
-  const HeldWeights weights = weightsOf(input.state, target, model);
+  const WeightsInfo weights = weightsOf(input.state, target, model);
   const resource::EnginePoolSpec pool = input.state.poolOf(model);
   KeepAliveSubject subject{usage.gapsOf(target), usage.allGaps(), 0, {}};
   subject.acceleratorShare = shareOf(input.state, weights.acceleratorBytes, pool);
@@ -74,13 +76,13 @@
   return makeKeepAlivePolicy(budget)->plan(subject);
 }
 
-/// From the nearest tier at any engine of the pool.
-base::Duration KeepAliveTable::coldStartOf(const PlacementInput& input, const HeldWeights& weights,
+/// Estimates the cold start from the nearest cache tier on any engine of the pool.
+base::Duration KeepAliveTable::coldStartOf(const PlacementInput& input, const WeightsInfo& weights,
                                            const resource::ModelSpec& model) const {
   const resource::EnginePoolSpec pool = input.state.poolOf(model);
   LoadSource nearest = LoadSource::store;
   for (const auto& [id, engine] : input.state.engines()) {
-    const auto tier = input.monitor.cachedAt(id, weights.checkpoint);
+    const auto tier = input.monitor.nearestCacheTier(id, weights.checkpoint);
     if (!tier || !inPool(engine, pool) || !input.takesWork(engine)) {
       continue;
     }
--- a/test/control/platform_watcher_test.cpp
+++ b/test/control/platform_watcher_test.cpp
@@ -2,7 +2,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "control/cell_test_kit.h"
+#include "control/cell_fixture.h"
 
 using namespace walnut;
 using control::atSecond;
@@ -56,11 +56,12 @@
 TEST(PlatformWatcher, aMachineIsGoneAfterListsOfTenSecondsWithoutIt) {
   read(10, listOf(8, {"a", "b"}));
   read(11, listOf(9, {"a"}));
-  read(40, listOf(18, {"a"}));  // Late, but of a date less than ten seconds after.
-  CHECK_TRUE(watcher.gone().empty());
+  // Read late, but dated less than ten seconds after the first list without it.
+  read(40, listOf(18, {"a"}));
+  CHECK_TRUE(watcher.goneMachines().empty());
   read(41, listOf(19, {"a"}));
-  CHECK_EQUAL(1, watcher.gone().size());
-  STRCMP_EQUAL("b", watcher.gone().front().value.c_str());
+  CHECK_EQUAL(1, watcher.goneMachines().size());
+  STRCMP_EQUAL("b", watcher.goneMachines().front().value.c_str());
 }
 
 TEST(PlatformWatcher, aMachineThatComesBackIsNotGone) {
@@ -68,10 +69,10 @@
   read(15, listOf(14, {"a", "b"}));
   read(16, listOf(15, {"a"}));
   read(25, listOf(24, {"a"}));
-  CHECK_TRUE(watcher.gone().empty());
+  CHECK_TRUE(watcher.goneMachines().empty());
 }
 
-TEST(PlatformWatcher, knowsAnEndpointThatAnotherMachineHas) {
+TEST(PlatformWatcher, detectsAnEndpointTakenByAnotherMachine) {
   read(10, listOf(8, {"a"}));
   CHECK_FALSE(watcher.endpointTaken({"a"}, {"127.0.0.1", 9000}));
   CHECK_TRUE(watcher.endpointTaken({"b"}, {"127.0.0.1", 9000}));
