--- a/include/walnut/registry/limit_messages.h
+++ b/include/walnut/registry/limit_messages.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Messages about the limits that workers name: how many requests a second one of them takes from
-/// all gateways together. Of feature level `kWorkerLimits`.
+/// Messages about the request rate limits of workers. A limit is the number of requests per second
+/// that a worker accepts from all gateways together. The messages need feature level
+/// `kWorkerLimits`.
 
 #include <cereal/types/optional.hpp>
 #include <cereal/types/vector.hpp>
@@ -14,26 +15,26 @@
 
 namespace walnut::registry {
 
-/// Requests a second that are sent to a worker whose limit is lower: without any nobody would hear
-/// that the limit has ended.
+/// Requests per second that are sent to a worker whose limit is lower. Without any request the end
+/// of the limit could not be detected.
 inline constexpr double kLeastLimit = 0.25;
 
-/// What one answer of a worker said of its limit.
+/// The limit stated by one answer of a worker.
 struct LimitSighting {
   WorkerId worker;
-  std::optional<double> perSecond;  ///< Absent: the answer named none.
-  /// @name By the gateway's clock, before the report was sent
+  std::optional<double> perSecond;  ///< The limit; absent if the answer stated none.
+  /// @name Times before the sending of the report, by the gateway's clock
   /// @{
-  base::Duration sentAgo{0};      ///< When the request went to the worker.
-  base::Duration answeredAgo{0};  ///< When the answer came.
+  base::Duration sentAgo{0};      ///< Time since the request was sent to the worker.
+  base::Duration answeredAgo{0};  ///< Time since the answer came.
   /// @}
   template <class Archive>
   void serialize(Archive& archive) {
     archive(worker, perSecond, sentAgo, answeredAgo);
   }
 };
-/// Gateway to leader: what is new to the gateway; to a leader that is new to it, all that it
-/// believes.
+/// Gateway to leader: the limits that are new to the gateway, or all that it knows if the leader is
+/// new to it.
 struct LimitReport {
   std::vector<LimitSighting> sightings;
   template <class Archive>
@@ -42,8 +43,8 @@
   }
 };
 
-/// Gateway to leader: requests for workers with a limit, one unit each. The owner of a claim is the
-/// id of the worker.
+/// Gateway to leader: a request for shares of workers' limits, where one unit is one request. The
+/// owner of a claim is the id of the worker.
 struct ShareRequest {
   QuotaRequest request;
   template <class Archive>
@@ -51,10 +52,10 @@
     archive(request);
   }
 };
-/// Leader to gateway.
+/// Leader to gateway: the reply to a ShareRequest.
 struct ShareGrant {
   QuotaGrant grant;
-  std::vector<WorkerId> unlimited;  ///< Workers among them of which no limit is known.
+  std::vector<WorkerId> unlimited;  ///< Requested workers that have no known limit.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(grant, unlimited);
--- a/src/registry/adapter_placement.cpp
+++ b/src/registry/adapter_placement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of the placement policy that decides where adapters go.
+/// The part of the placement policy that decides which workers load adapters.
 
 #include <algorithm>
 #include <limits>
@@ -67,7 +67,7 @@
     round.order({best->id, OrderOperation::load, model.name, adapter, false});
     return;
   }
-  // The adapter that was wanted least recently makes room.
+  // Evict the least recently requested adapter.
   std::optional<PlacementStep> unload;
   base::TimePoint oldest = base::kNever;
   for (const HeldModel& held : best->holdings.models) {
--- a/src/registry/decaying_rate.h
+++ b/src/registry/decaying_rate.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// How often something happens, as a mean that forgets.
+/// Exponentially decaying mean of an event rate.
 
 #include <cmath>
 
@@ -8,11 +8,11 @@
 
 namespace walnut::registry {
 
-/// Events a second, weighted by their age.
+/// Events per second, weighted by their age with an exponential decay.
 class DecayingRate {
  public:
-  /// Time constant, in seconds: shorter than the time in which demand moves from one model to
-  /// another.
+  /// Time constant of the decay in seconds, shorter than the time in which demand shifts from one
+  /// model to another.
   static constexpr double kSeconds = 8.0;
 
   void count(base::TimePoint now, double events = 1.0) {
--- a/src/registry/demand_book.cpp
+++ b/src/registry/demand_book.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// For how long the most urgent route to a model is remembered: some time constants of the rate.
+/// Time for which the most urgent route to a model is remembered: a few time constants of the rate.
 constexpr base::Duration kUrgencyMemory = std::chrono::seconds(20);
-/// Requests without an answer are forgotten once no other has come for this long: callers come back
-/// within seconds, or not at all.
+/// Unserved requests no longer count once no other has come for this long: callers come back within
+/// seconds, or not at all.
 constexpr base::Duration kUnansweredMemory = std::chrono::seconds(20);
-/// A model without an answer for this long is told of: most loads are over by then.
+/// Time after which an unserved model is reported: most loads are over by then.
 constexpr base::Duration kToldWithoutAnswer = std::chrono::seconds(3);
 
 template <class Key>
@@ -135,7 +135,8 @@
   }
 }
 
-/// The most urgent of several routes to a model counts, until none has asked for some time.
+/// The most urgent of several routes to a model counts, until no request as urgent has come for
+/// kUrgencyMemory.
 void DemandBook::noteUrgency(History& history, const ModelDemand& demand, base::TimePoint now) {
   const bool outdated = now >= history.urgencyAt + kUrgencyMemory;
   if (outdated || demand.priority <= history.priority) {
--- a/src/registry/demand_book.h
+++ b/src/registry/demand_book.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What gateways report of the demand for models and of the load on workers.
+/// Tracks the demand for models and the load on workers, as reported by gateways.
 
 #include <compare>
 #include <map>
@@ -15,41 +15,42 @@
 
 namespace walnut::registry {
 
-/// A model of a service, or an adapter over it.
+/// Identifies a model of a service, or an adapter of such a model.
 struct ModelKey {
   std::string service;
   std::string model;
-  std::string adapter;  ///< Empty: the model itself.
+  std::string adapter;  ///< Empty if the key is that of the model itself.
   auto operator<=>(const ModelKey&) const = default;
 
   ModelKey withoutAdapter() const { return {service, model, {}}; }
 };
 
-/// Demand for a model and its adapters adds up in the model's own figures.
+/// The demand for one model or adapter. The figures of a model include those of its adapters.
 struct DemandFigures {
-  std::uint32_t waiting = 0;
-  double rate = 0;              ///< Arrivals a second, a decaying mean.
-  base::TimePoint lastArrival;  ///< Zero if there was none.
-  std::uint32_t priority = 0;   ///< Of the most urgent ones lately; 0 is the highest.
-  /// The shortest target latency lately; 0 if there is none.
+  std::uint32_t waiting = 0;    ///< Requests that wait at gateways.
+  double rate = 0;              ///< Arrivals per second, a decaying mean.
+  base::TimePoint lastArrival;  ///< Time of the last request; zero if there was none.
+  std::uint32_t priority = 0;   ///< Highest priority of recent requests; 0 is the highest.
+  /// The shortest target latency of recent requests; 0 if there is none.
   base::Duration targetLatency{0};
-  /// Since the first request after the last answer; 0: the last one was answered.
+  /// Time since the first request after the last answer; 0 if the last request was answered.
   base::Duration unansweredFor{0};
-  /// Requests since the last answer, or since none came for some time.
+  /// Requests since the last answer, or since the last long pause between requests.
   std::uint32_t unanswered = 0;
 };
 
-/// A model or an adapter that is asked for and gets no answer, or does so again.
+/// A model or adapter whose requests have become unserved, or are served again.
 struct AnswerChange {
   ModelKey key;
   bool answered = false;
-  base::Duration lasted{0};    ///< Since the first request that got no answer.
-  std::uint32_t requests = 0;  ///< Since then.
-  std::uint32_t failed = 0;    ///< Attempts of these that a worker failed.
+  base::Duration lasted{0};    ///< Time since the first unserved request.
+  std::uint32_t requests = 0;  ///< Requests since then.
+  std::uint32_t failed = 0;    ///< Attempts of these requests that failed at a worker.
 };
 
-/// Kept by the leader; empty at the start of its leadership. Totals over the gateways are kept up
-/// to date with each report, so that reading them does not depend on the number of gateways.
+/// The demand for models and adapters and the load on workers, added up over all gateways. The
+/// leader has one; it is empty at the start of a leadership. The totals are updated with each
+/// report, so that the cost of reading them doesn't depend on the number of gateways.
 class DemandBook {
  public:
   using RunningByModel = std::map<std::string, std::uint32_t>;
@@ -58,24 +59,25 @@
   void forget(protocol::ConnectionId gateway);
 
   DemandFigures figures(const ModelKey& key, base::TimePoint now) const;
-  /// @return arrivals a second for adapters of a model, all together.
+  /// @return arrivals per second for all adapters of a model together.
   double adapterRate(const std::string& service, const std::string& model,
                      base::TimePoint now) const;
-  /// @return the requests of all gateways on that worker.
+  /// @return the number of requests that all gateways have at that worker.
   std::uint32_t running(const WorkerId& worker) const;
-  /// @return those of one model.
+  /// @return the number of requests for one model that all gateways have at that worker.
   std::uint32_t running(const WorkerId& worker, const std::string& model) const;
-  /// @return true if some gateway can't reach the worker.
+  /// @return true if at least one gateway can't reach the worker.
   bool unreachable(const WorkerId& worker) const { return unreachable_.count(worker) != 0; }
-  /// @return the running requests of all workers that have any.
+  /// @return the number of requests at each worker that has any.
   std::vector<WorkerLoad> loads() const;
-  /// @return arrivals a second for all models of a service.
+  /// @return arrivals per second for all models of a service.
   double serviceRate(const std::string& service, base::TimePoint now) const;
-  /// @return models and adapters of the service that requests came for since then.
+  /// @return the models and adapters of the service that were requested since then.
   std::vector<ModelKey> askedSince(const std::string& service, base::TimePoint since) const;
-  /// @return all models and adapters for which requests wait.
+  /// @return the number of waiting requests by model and adapter, without zeros.
   const std::map<ModelKey, std::uint32_t>& waiting() const { return waiting_; }
-  /// @return changes since the last call; of those without an answer only what has lasted.
+  /// @return the changes since the last call. Models are reported as unserved only once they have
+  /// been so for some time.
   std::vector<AnswerChange> takeAnswerChanges() { return std::exchange(answerChanges_, {}); }
 
  private:
@@ -89,14 +91,14 @@
     base::TimePoint lastArrival;
     std::uint32_t priority = 0;
     base::Duration targetLatency{0};
-    base::TimePoint urgencyAt;  ///< When priority and target were last as urgent as this.
-    /// @name Since the last answer
+    base::TimePoint urgencyAt;  ///< When a request was last as urgent as priority and target say.
+    /// @name Counts since the last answer
     /// @{
-    base::TimePoint unansweredSince;  ///< Of the first request; zero: none came.
+    base::TimePoint unansweredSince;  ///< Time of the first request; zero if none came.
     std::uint32_t requests = 0;
     std::uint32_t failed = 0;
-    std::uint32_t unanswered = 0;  ///< As in DemandFigures.
-    bool told = false;             ///< That there is none.
+    std::uint32_t unanswered = 0;  ///< See DemandFigures.
+    bool told = false;             ///< True once the model was reported as unserved.
     /// @}
   };
 
@@ -110,9 +112,9 @@
   std::map<protocol::ConnectionId, Gateway> gateways_;
   std::map<ModelKey, History> history_;
 
-  // Totals over the gateways; no entry is 0.
+  // Totals over the gateways, without entries of 0.
   std::map<ModelKey, std::uint32_t> waiting_;
-  std::map<ModelKey, std::uint32_t> modelWaiting_;  ///< With those for adapters.
+  std::map<ModelKey, std::uint32_t> modelWaiting_;  ///< By model, adapters included.
   std::map<WorkerId, RunningByModel> running_;
   std::map<WorkerId, std::uint32_t> unreachable_;
   std::vector<AnswerChange> answerChanges_;
--- a/src/registry/late_model_announcer.h
+++ b/src/registry/late_model_announcer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When gateways are told of models that come late.
+/// Decides when gateways are notified of models that will be available late.
 
 #include <map>
 #include <optional>
@@ -11,16 +11,17 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader. Told when it changes by more than callers would notice, and again while
-/// there is something to tell, as gateways forget it.
+/// Decides when the leader sends the list of late models to all gateways: when it changes by enough
+/// for callers to notice, and periodically while it isn't empty, since gateways drop it after
+/// `kLateModelsLast`.
 class LateModelAnnouncer {
  public:
-  /// A change of an expected time that is told.
+  /// Least change of an expected time that is announced.
   static constexpr base::Duration kMoved = std::chrono::seconds(2);
   /// Least time between two announcements.
   static constexpr base::Duration kSpacing = std::chrono::milliseconds(250);
 
-  /// @return true if `late` is to be told to all gateways now.
+  /// @return true if `late` has to be sent to all gateways now, in which case it counts as sent.
   bool due(const LateModels& late, base::TimePoint now);
 
  private:
@@ -28,7 +29,7 @@
 
   bool differs(const Expected& expected) const;
 
-  Expected told_;  ///< By service and model.
+  Expected told_;  ///< Last announced times, by service and model.
   base::TimePoint toldAt_;
 };
 
--- a/src/registry/leader_limits.cpp
+++ b/src/registry/leader_limits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of a leader's duties that shares out what workers with a limit take.
+/// The part of the leader's tasks that grants gateways shares of the request limits of workers.
 
 #include <utility>
 
--- a/src/registry/leader_orders.cpp
+++ b/src/registry/leader_orders.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a leader's duties that orders workers: what it must know before, what it sends, and
-/// what it learns from the answers and from reports.
+/// The part of the leader's tasks that sends orders to workers: the reports it needs before an
+/// order, the orders themselves, and the handling of their outcomes and of workers' reports.
 
 #include <algorithm>
 #include <utility>
@@ -13,14 +13,16 @@
 
 using runtime::LogEvent;
 
-/// A worker that refused an order is not ordered again for this long.
+/// Pause after a refused order until the worker is sent another.
 constexpr base::Duration kRefusedPause = std::chrono::milliseconds(200);
-/// Beyond a load's expected time, before its worker is asked for it: its heartbeat may be late.
+/// Time beyond the expected end of a load until a report is requested from its worker, whose
+/// heartbeat may be late.
 constexpr base::Duration kOrderMargin = std::chrono::milliseconds(1500);
-/// An unload of an idle model, as seen in logs; of one that has requests, which it waits for.
+/// Typical duration of an unload of an idle model, as seen in logs, and of a model with running
+/// requests, for which the unload waits.
 constexpr base::Duration kUnloadTime = std::chrono::milliseconds(60);
 constexpr base::Duration kUnloadOfBusyModel = std::chrono::seconds(1);
-/// For an unload, which waits for the requests that run.
+/// Time until a report is requested about an unload, which waits for the running requests.
 constexpr base::Duration kUnloadPatience = std::chrono::seconds(4);
 
 std::string_view outcomeName(OrderOutcome outcome) {
@@ -123,14 +125,15 @@
   }
 }
 
-/// Only a worker whose count of orders is known can be ordered.
+/// Orders carry the worker's order count, so only a worker whose count is known can be ordered.
 bool LeaderDuties::needsReport(const WorkerRecord& record, const WorkerStatus& status,
                                base::TimePoint now) const {
   return !outOfService(record) && !status.silent && !status.reportFresh && !status.sentOrder &&
          now >= status.orderAgainAt && mayOrder(record.id, now);
 }
 
-/// Of a large service, plans ask those that they may order.
+/// Requests missing reports from all workers of small services. For a large service the planner
+/// requests reports only from the workers that it may order.
 void LeaderDuties::refreshReports(base::TimePoint now) {
   if (document_ == nullptr) {
     return;
@@ -168,7 +171,7 @@
   }
 }
 
-/// @return how long the order will take its worker, as far as is known.
+/// @return the expected duration of the order, or a default if the model isn't declared.
 base::Duration LeaderDuties::expectedTime(const PlacementStep& step, const WorkerRecord& record,
                                           const WorkerStatus& status) const {
   if (step.operation == OrderOperation::unload) {
@@ -188,7 +191,7 @@
   return kUnloadPatience;
 }
 
-/// The load that its worker was ordered will not be heard of again.
+/// Removes the worker's load from the store's scheduler, since its end will not be reported.
 void LeaderDuties::forgetLoad(const WorkerRecord& record) {
   const auto store = stores_.find(record.service);
   if (store != stores_.end()) {
@@ -196,8 +199,8 @@
   }
 }
 
-/// A worker that ended before its load did may have ended by it. The load takes no place of the
-/// store any more: kept, it would look later and later, and the store crowded.
+/// Records that a worker ended during a load, which may have been the cause. The load no longer
+/// counts as in progress: otherwise it would seem later and later, and the store overloaded.
 void LeaderDuties::noteEnded(const WorkerId& id, const WorkerStatus& status, base::TimePoint now) {
   if (!status.unfinishedLoad) {
     return;
@@ -263,7 +266,8 @@
         status.modelOrderDone(step);
         status.reportFresh = false;
       } else {
-        // An adapter that is unloaded at once counts as an order; one that is there does not.
+        // The worker counts an adapter unload that took effect at once as an order, but not a load
+        // of an adapter that is already present.
         status.orderCount += step.operation == OrderOperation::unload ? 1 : 0;
         status.adapterOrdered(step, now, base::Duration::zero());
       }
@@ -328,7 +332,7 @@
     status.orderAgainAt = now + kRefusedPause;
   }
   if (report.orderUnderWay && !status.modelOrder) {
-    // An order of a former leader: nothing is known of it but that it is under way.
+    // The order is from a previous leader. Nothing is known but that it is in progress.
     status.reportFresh = false;
     status.orderAgainAt = now + kRefusedPause;
   }
--- a/src/registry/leader_plans.cpp
+++ b/src/registry/leader_plans.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a leader's duties that plans: who is looked at, what is decided, and what of it is
-/// told.
+/// The part of the leader's tasks that plans placement: it selects the workers to consider, runs
+/// the policy and logs the decisions.
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,8 @@
 constexpr base::Duration kPlanSpacing = std::chrono::milliseconds(15);
 constexpr base::Duration kPlanSpacingPerWorker = std::chrono::microseconds(500);
 
-/// Of a worker that has an order under way: an order and its answer.
+/// Least time for which a worker with an order in progress counts as busy: the round trip of an
+/// order.
 constexpr base::Duration kLeastBusyTime = std::chrono::milliseconds(50);
 
 constexpr double kPercent = 100;
@@ -71,7 +72,7 @@
   return longest;
 }
 
-/// @return for how long a caller of that service waits at most.
+/// @return the longest time that a caller of the service waits.
 base::Duration longestTimeout(const catalog::Document& document, const std::string& service) {
   base::Duration longest{0};
   for (const catalog::Route& route : document.routes) {
@@ -83,8 +84,8 @@
   return longest;
 }
 
-/// @return until the order under way is expected to end. One that is overdue is taken to need as
-/// long again as it is late.
+/// @return the time until the order in progress is expected to end. An overdue order is assumed to
+/// take as long again as it is late.
 base::Duration busyTime(const WorkerStatus& status, base::TimePoint now) {
   if (status.modelOrder) {
     const base::TimePoint end = status.modelOrder->expectedEnd;
@@ -95,12 +96,13 @@
 
 }  // namespace
 
-/// Planning takes time in proportion to the workers; the spacing keeps its share of a core bounded.
+/// @return the least time between two plans. Planning time is proportional to the number of
+/// workers; so is the spacing, which bounds the share of a core that planning takes.
 base::Duration LeaderDuties::planSpacing() const {
   return kPlanSpacing + kPlanSpacingPerWorker * plannedWorkers();
 }
 
-/// @return workers that plans look at, at most.
+/// @return the most workers that a plan considers.
 std::size_t LeaderDuties::plannedWorkers() const { return std::min(workers_.size(), kMostPlanned); }
 
 void LeaderDuties::plan(base::TimePoint now) {
@@ -173,7 +175,7 @@
   return stores_.try_emplace(service, formerLoads()).first->second;
 }
 
-/// One line for each change of what is decided about a model, with what decided it.
+/// Logs one line for each change of the decision on a model, with the figures behind it.
 void LeaderDuties::logDecisions(PlacementPolicy& policy, const StoreScheduler& store,
                                 base::TimePoint now) {
   const auto storeWait =
@@ -199,7 +201,7 @@
   }
 }
 
-/// An order of a former leader that is under way may be a load from the store.
+/// Counts the orders of previous leaders in progress, each of which may be a load from the store.
 void LeaderDuties::countForeignLoads(const catalog::Service& service, StoreScheduler& store) {
   std::size_t foreign = 0;
   for (const WorkerId& id : busyWorkers_) {
@@ -219,8 +221,8 @@
   PlacementWorker worker;
   worker.id = record.id;
   worker.holdings = status.expected(now);
-  // What it can't take of its models' requests is served elsewhere, and nothing new is brought to
-  // it.
+  // A worker over its request limit doesn't count as a replica, so that the excess is served
+  // elsewhere, and no new models are loaded on it.
   worker.serving = !outOfService(record) && !status.silent && !outliers_.failing(record.id) &&
                    !limits_.wasShort(record.id, now);
   worker.mayLoad = !limits_.limitOf(record.id);
--- a/src/registry/load_backoff.cpp
+++ b/src/registry/load_backoff.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// More would be beyond the longest pause.
+/// Bound on the doublings of the pause; it is far beyond what reaches the longest pause.
 constexpr std::uint32_t kMostDoublings = 8;
 
 }  // namespace
--- a/src/registry/load_backoff.h
+++ b/src/registry/load_backoff.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Spaces out loads of a model whose loads end their workers.
+/// Exponential backoff for loads of a model whose loads crash their workers.
 
 #include <map>
 #include <set>
@@ -10,22 +10,24 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader, for one service. A model that ends each worker that loads it would be
-/// ordered at the next one as long as somebody asks for it. The first end costs nothing: workers
-/// end for other reasons too, and many together. Each further one, of a load that was ordered after
-/// the one before, doubles the pause; a load that ends well takes it away.
+/// Postpones loads of a model after workers ended while loading it. The leader has one for each
+/// service. Without it a model that crashes each worker that loads it would be ordered on the next
+/// worker as long as it is requested. The first end of a worker causes no pause, since workers end
+/// for other reasons too, and many at once. Each further one, of a load that was ordered after the
+/// previous end, doubles the pause. A successful load resets it.
 class LoadBackoff {
  public:
-  /// @param orderedAt when the load was ordered that had not ended.
-  /// @return the pause until the next load; zero: none.
+  /// Records that a worker ended while it was loading the model.
+  /// @param orderedAt when that load was ordered.
+  /// @return the pause until the next load; zero if there is none.
   base::Duration workerEnded(const std::string& model, base::TimePoint orderedAt,
                              base::TimePoint now);
   void loaded(const std::string& model) { entries_.erase(model); }
-  /// @return the models that are not to be loaded now.
+  /// @return the models that must not be loaded now.
   std::set<std::string> postponed(base::TimePoint now) const;
 
   static constexpr base::Duration kFirstPause = std::chrono::seconds(2);
-  /// One worker of a service in so long, of some that are back within seconds.
+  /// At this pause a service loses one worker every 32 s; workers restart within seconds.
   static constexpr base::Duration kLongestPause = std::chrono::seconds(32);
 
  private:
--- a/src/registry/load_concurrency.cpp
+++ b/src/registry/load_concurrency.cpp
@@ -7,19 +7,21 @@
 
 namespace {
 
-/// Up to this multiple of its declared time a load counts as in time: workers differ a little.
+/// A load up to this multiple of its declared time counts as in time: workers differ a little.
 constexpr double kOnTime = 1.15;
-/// Loads at once that are tried, for each that the store was seen to take.
+/// Concurrent loads that are attempted, as a multiple of those that the store was seen to serve in
+/// time.
 constexpr double kTriedBeyondShown = 2.0;
-/// Of what the store was seen to take, with each load that contradicts it: ten of them halve it
-/// twice over, which a store that has become slow brings about in the time of a load.
+/// Factor by which each late load that contradicts the number served in time reduces that number.
+/// Ten of them divide it by four, and a store that has become slow produces as many within the
+/// duration of a load.
 constexpr double kShownKept = 0.87;
-/// Growth for each load in time, once the store's number was met, divided by the limit: a load more
-/// at once after four rounds, as each try makes loads late.
+/// Growth of the limit for each load in time once the store's capacity was reached, divided by the
+/// limit: one more concurrent load after four rounds, because each attempt makes loads late.
 constexpr double kSlowGrowth = 0.25;
 
-/// Growth for each load in time while one is allowed: the step to two costs every load if it is
-/// wrong, and is taken after two that were in time.
+/// Growth for each load in time while the limit is one. A wrong step to two wastes every load, so
+/// it is taken only after two loads in time.
 constexpr double kCautiousGrowth = 0.5;
 
 }  // namespace
@@ -44,8 +46,8 @@
   }
 }
 
-/// A load that was in time shows that the store takes as many as were under way then: no more than
-/// a multiple of those is tried.
+/// A load in time shows that the store can serve the loads that were in progress at its start. The
+/// limit grows to at most kTriedBeyondShown times that number.
 void LoadConcurrency::grow(std::size_t underWayAtStart) {
   const double tried = kTriedBeyondShown * static_cast<double>(underWayAtStart);
   if (limit_ < tried) {
@@ -54,9 +56,9 @@
   }
 }
 
-/// Two late loads in a row count, and the more favourable of them: a single one may be a late
-/// heartbeat. One that began with no more beside it than the store takes in time is late for
-/// another reason, unless that goes on.
+/// Lowers the limit after two late loads in a row, to the higher of their estimates, since a single
+/// one may be due to a late heartbeat. A load that started with no more in progress than the store
+/// serves in time is late for another reason, unless this happens repeatedly.
 void LoadConcurrency::late(std::uint64_t load, std::size_t underWayAtStart, double lateness) {
   const auto underWay = static_cast<double>(underWayAtStart);
   if (underWay <= shown_) {
--- a/src/registry/load_concurrency.h
+++ b/src/registry/load_concurrency.h
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// How many loads from the weight store are worth having under way at once, found from how long
-/// they take.
+/// Adaptive limit on concurrent loads from the weight store, derived from how long loads take.
 
 #include <cstddef>
 #include <cstdint>
@@ -9,40 +8,43 @@
 
 namespace walnut::registry {
 
-/// An adaptive concurrency limit. Up to some number of loads at once, which nobody tells, a load
-/// takes its declared time; beyond it each takes longer in proportion to the loads under way when
-/// it began, so that more at once bring no more throughput, only late ends. A late load therefore
-/// tells the number: the loads under way at its start, by its lateness.
+/// An adaptive concurrency limit. Up to the store's capacity, a number of concurrent loads that it
+/// doesn't announce, a load takes its declared time. Beyond it each load takes longer in proportion
+/// to the loads in progress at its start, so that more of them bring no more throughput but only
+/// later ends. A late load therefore gives an estimate of the capacity: the loads in progress at
+/// its start, divided by its lateness.
 ///
-/// Begins low and grows by one with each load that ends in time while the limit is in use, to no
-/// more than twice the loads that it began with (it doubles in the time of a load), until a load is
-/// late; from then on it grows slowly, to notice a store that has become faster.
+/// The limit starts low and grows by one with each load that ends in time while the limit is
+/// reached, so that it doubles in the duration of a load. It never grows beyond twice the loads
+/// that were in progress at the start of such a load. Once a load is late it grows slowly, to
+/// detect a store that has become faster.
 ///
-/// What it begins with depends on what a wrong guess costs. Where loads are short against what
-/// callers wait, too many at once are late and still of use. Where two at once at a store that
-/// takes one both end after all callers have left, the first guess would cost every load of it: it
-/// begins with one.
+/// The initial value depends on the cost of a wrong guess. Where loads are short compared to the
+/// callers' timeouts, too many concurrent loads are late but still useful. Where loads are long,
+/// two concurrent loads on a store with a capacity of one both end after all callers have left;
+/// every load of the first guess would be wasted, so the limit starts at one.
 class LoadConcurrency {
  public:
-  /// Loads at once to begin with, and the least that the limit falls to. Of the stores seen the
-  /// median takes 10, the least 4: too many only make the first loads late, which the store serves
-  /// in the same time in all; too few leave it idle, and a round of doubling costs a load's time.
+  /// Initial limit, and the minimum to which it falls. Known stores have a median capacity of 10
+  /// and a minimum of 4. Too high a limit only makes the first loads late, and the store serves
+  /// them in the same total time. Too low a limit leaves the store idle, and each doubling takes
+  /// the duration of a load.
   static constexpr double kInitialLimit = 8;
   static constexpr double kLeastLimit = 2;
-  /// The same where a wrong guess costs every load.
+  /// Initial limit and minimum where a wrong guess wastes every load.
   static constexpr double kCautiousLimit = 1;
 
-  /// @param cautious whether loads are so long that a wrong guess costs every one of them.
+  /// @param cautious true if loads are so long that a wrong guess wastes every one of them.
   void setCautious(bool cautious);
 
-  /// @return loads that may be under way.
+  /// @return the number of loads that may be in progress.
   std::size_t limit() const { return static_cast<std::size_t>(limit_); }
 
-  /// A load has ended, or is overdue.
-  /// @param load names it: what is told of one load again and again counts once.
-  /// @param underWayAtStart loads under way when it began, itself included.
-  /// @param lateness its time as a multiple of the declared one.
-  /// @param limitReached whether the limit kept another load from beginning in that time.
+  /// Adapts the limit to a load that has ended or is overdue.
+  /// @param load identifies the load: repeated observations of one load count once.
+  /// @param underWayAtStart loads in progress when it started, itself included.
+  /// @param lateness its duration as a multiple of the declared one.
+  /// @param limitReached true if the limit kept another load from starting meanwhile.
   void observe(std::uint64_t load, std::size_t underWayAtStart, double lateness, bool limitReached);
 
  private:
@@ -51,17 +53,17 @@
 
   struct LateLoad {
     std::uint64_t load = 0;
-    double estimate = 0;  ///< Of the store's number.
+    double estimate = 0;  ///< Estimated capacity of the store, in concurrent loads.
   };
 
   double least() const { return cautious_ ? kCautiousLimit : kLeastLimit; }
 
   bool cautious_ = false;
-  bool observed_ = false;  ///< Some load has told of the store.
+  bool observed_ = false;  ///< True once a load was observed.
   double limit_ = kInitialLimit;
-  double shown_ = 0;     ///< Loads at once that the store was seen to take in time.
-  bool probing_ = true;  ///< No load was late yet.
-  /// Of the late load before; none if the load before was in time.
+  double shown_ = 0;     ///< Concurrent loads that the store was seen to serve in time.
+  bool probing_ = true;  ///< True until the store's capacity was first reached.
+  /// The previous load if it was late, otherwise empty.
   std::optional<LateLoad> lastLate_;
 };
 
--- a/src/registry/order_turns.cpp
+++ b/src/registry/order_turns.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// Processes that are started together do so within some hundred ms, and grant no vote before the
-/// least election timeout has passed since their own start.
+/// Delay beyond the least election timeout until the previous holder's first election. Processes
+/// that are started together start within some hundred ms of one another, and grant no vote before
+/// the least election timeout has passed since their own start.
 constexpr base::Duration kHolderFirstElection = std::chrono::milliseconds(150);
-/// By how much later the others begin, so that the former holder has the time to be elected.
+/// The same delay for the other servers, long enough for the previous holder to be elected first.
 constexpr base::Duration kOthersFirstElection = std::chrono::milliseconds(600);
 constexpr base::Duration kOthersSpread = std::chrono::milliseconds(50);
-/// The others begin apart from one another, by their identities.
+/// The other servers start their elections at different times, spread by their identifiers.
 constexpr std::uint64_t kOthersSteps = 8;
 
 }  // namespace
--- a/src/registry/order_turns.h
+++ b/src/registry/order_turns.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When a new leader may order a worker that a former one has ordered.
+/// Decides when a new leader may send orders to a worker that a previous leader has ordered.
 
 #include <map>
 #include <optional>
@@ -12,44 +12,46 @@
 
 namespace walnut::registry {
 
-/// Beyond the lease of a former holder, for its clock and the network.
+/// Margin beyond the order lease of a previous holder, for clock drift and network delay.
 constexpr base::Duration kTurnMargin = std::chrono::milliseconds(300);
-/// An order that was recorded is sent within this time, or not at all.
+/// A recorded order is sent within this time or not at all.
 constexpr base::Duration kRecordedOrderLifetime = std::chrono::milliseconds(300);
 
-/// When workers were last ordered, by the clock of this server: kept by every server as it applies
-/// the log, so that whoever leads next knows.
+/// Tracks when each worker was last ordered, by the clock of this server. Every server updates its
+/// own tracker as it applies the log, so that the next leader has the times.
 ///
 /// Invariant: an order arrives before `orderedAt` + kRecordedOrderLifetime + kTurnMargin, or it was
-/// given under a lease of leadership that ended before the present leader was elected.
+/// sent under a lease of leadership that ended before the current leader was elected.
 class OrderTurns {
  public:
-  /// @param now from which on this server sees what is applied.
+  /// @param now when this server starts to apply log entries.
   explicit OrderTurns(base::TimePoint now) : unknownAt_(now) {}
 
+  /// Records that a log entry with orders for these workers was applied.
   void ordered(const std::vector<WorkerId>& workers, base::TimePoint now);
-  /// The state was replaced by another server's: what it skipped may have happened just now.
+  /// The state was replaced by another server's snapshot. The orders in the skipped log entries may
+  /// be as recent as now.
   void restored(base::TimePoint now) { unknownAt_ = now; }
   void forget(const WorkerId& worker) { orderedAt_.erase(worker); }
-  /// A worker has started again under its name: who ordered it is bound as before.
+  /// A worker has restarted under its name. The orders to its previous incarnation still count.
   void succeeded(const WorkerId& former, const WorkerId& present);
 
-  /// @return when a worker that another server ordered last may be ordered by the present leader.
-  /// @param electedAt when that leader was elected.
+  /// @return when the current leader may order a worker that another server ordered last.
+  /// @param electedAt when the current leader was elected.
   base::TimePoint allowedAt(const WorkerId& worker, base::TimePoint electedAt,
                             base::Duration lease) const;
 
  private:
   std::map<WorkerId, base::TimePoint> orderedAt_;
-  base::TimePoint unknownAt_;  ///< Orders that this server did not see are no later.
+  base::TimePoint unknownAt_;  ///< Upper bound for the times of orders that this server missed.
 };
 
-/// @return the server that had the turn to order when the log was written; zero if there was none.
+/// @return the server that held the order lease at the end of the log; zero if there was none.
 base::ServerId recoveredOrderHolder(const consensus::RecoveredState& recovered);
 
-/// After a restart of the whole cell, the former holder of the turn to order had better lead again:
-/// it need not wait for its own orders, as any other would.
-/// @return time until the first election; zero if it makes no difference.
+/// Computes the first election timeout after a restart of the whole cell. The previous holder of
+/// the order lease should be elected: it need not wait for its own orders, as any other would.
+/// @return time until the first election; zero to use the default, if there was no holder.
 base::Duration firstElectionTimeout(const consensus::RaftOptions& options, base::ServerId self,
                                     base::ServerId holder);
 
--- a/src/registry/placement.cpp
+++ b/src/registry/placement.cpp
@@ -14,47 +14,47 @@
 
 using catalog::ModelSpec;
 
-/// Room that was made and not used in this time is no longer kept for its model.
+/// Capacity that was freed for a model and not used in this time is no longer reserved for it.
 constexpr base::Duration kWakeLifetime = std::chrono::seconds(5);
-/// How much better another worker must be, in seconds, to be taken in place of the one where room
-/// is being made: about an unload and the way of its news.
+/// Cost difference in seconds by which another worker must be better to replace the one where
+/// capacity is being freed: about the time of an unload and of its notification.
 constexpr double kWakeCommitment = 0.5;
-/// Arrivals a second from which a model is held by two workers.
+/// Arrivals per second from which a model gets a second replica.
 constexpr double kSecondReplicaRate = 0.6;
-/// Of a model's rate, in the order of wants, if it has two replicas or more.
+/// Factor on a model's arrival rate in the sort order of candidates if it has two replicas or more.
 constexpr double kCrowdedShare = 0.1;
-/// Seconds of cost that a further replica is worth, for each arrival a second.
+/// Cost in seconds that a further replica is worth, for each arrival per second.
 constexpr double kSecondReplicaWorth = 6.0;
-/// Seconds of cost that a replica is worth at most for which requests wait: anything but one that
-/// is waited for itself makes room.
+/// Cost in seconds that a replica is worth at most if requests wait for it. It allows unloading any
+/// model except one that requests wait for.
 constexpr double kUrgentReplicaWorth = 1000.0;
-/// Requests that wait at the workers of a model from which they count as a queue: one alone may
-/// only be news that is late.
+/// Least number of requests queued at a model's workers that counts as a queue. A single one may
+/// only be a late notification.
 constexpr double kLeastQueue = 2.0;
-/// Between the end of one order and the acceptance of the next: news and planning.
+/// Time between the end of an order and the acceptance of the next: notification and planning.
 constexpr double kOrderGapSeconds = 0.1;
 
-/// @name Models that come too late for those who wait
+/// @name Models that come too late for the callers that wait
 /// @{
-/// Callers are told of a model that takes longer than this: what comes from a disk takes 1 to 2 s,
-/// and some time until its worker is free.
+/// Callers are notified of a model that takes longer than this. A load from disk takes 1 to 2 s,
+/// plus the time until its worker is free.
 constexpr base::Duration kLeastLate = std::chrono::seconds(4);
-/// After its last request a late model is wanted no more.
+/// Time after the last request for a late model until it is no longer to be loaded.
 constexpr base::Duration kLateLasts = std::chrono::seconds(20);
 /// @}
 
-/// @name Models that are asked for and get no answer, however long they are asked for
+/// @name Models that stay unserved although requests keep coming
 /// @{
-/// Beyond what a load from a disk takes; such a model is wanted also between two of its requests,
-/// while they come at least this often.
+/// Time from which an unserved model counts as starved, longer than a load from disk takes. It is
+/// to be loaded also between two requests, while these come no further apart than the second time.
 constexpr base::Duration kStarvedAfter = std::chrono::seconds(4);
 constexpr base::Duration kStarvedLasts = std::chrono::seconds(10);
 /// @}
 
-/// @return how much a load of a cold model brings: those who wait now and come next, for each
-/// request that was in vain, so that no model is put off again and again for busier ones.
+/// @return the benefit of loading a cold model: the waiting and expected requests, multiplied by
+/// the number of unserved ones, so that busier models can't put it off again and again.
 double coldWorth(const DemandFigures& figures) {
-  // A leader that is new has not heard of those that waited already.
+  // A new leader has received no counts of the requests that were already waiting.
   const std::uint32_t inVain = std::max(figures.unanswered, figures.waiting);
   return inVain * (figures.rate + figures.waiting);
 }
@@ -74,7 +74,8 @@
   storeQueueBefore_ = std::exchange(storeQueue_, 0);
   dropEndedWakes(round);
   forgetLate(round);
-  // An adapter takes some ms, a model seconds in which its worker takes no adapter.
+  // Adapters come first: their load takes some milliseconds, that of a model takes seconds during
+  // which its worker can load no adapter.
   placeAdapters(round);
   std::vector<Want> wanted = wants(round);
   std::erase_if(wanted,
@@ -87,7 +88,7 @@
   return round.takeSteps();
 }
 
-/// A model that is served again, or that nobody has asked for lately, is not late any more.
+/// Removes late models that are served again or have not been requested lately.
 void PlacementPolicy::forgetLate(const PlacementRound& round) {
   std::erase_if(late_, [&round](const auto& entry) {
     const base::TimePoint lastAsked = round.figures(entry.first).lastArrival;
@@ -103,7 +104,8 @@
   }
 }
 
-/// What comes from the store takes long; what comes from elsewhere is waited for.
+/// Records a cold model as late if it is loaded from the store, which takes long. Callers wait for
+/// models that are loaded from disk or host memory.
 void PlacementPolicy::lookOut(const PlacementRound& round, const Want& want, const Choice& choice,
                               WantOutcome outcome) {
   if (want.reason != WantReason::cold || !choice.fromStore) {
@@ -118,7 +120,7 @@
   }
 }
 
-/// Models that are on their way to their first worker.
+/// Records the expected time of models whose first replica is being loaded.
 void PlacementPolicy::lookOutForArrivals(const PlacementRound& round) {
   std::map<std::string, base::Duration> arrivals;
   for (const PlacementWorker& worker : round.workers()) {
@@ -140,7 +142,7 @@
   });
 }
 
-/// @return the models that should have another replica, the most wanted first.
+/// @return the models that should get another replica, the most important first.
 std::vector<PlacementPolicy::Want> PlacementPolicy::wants(const PlacementRound& round) const {
   std::vector<Want> wanted;
   for (const ModelSpec& model : round.engine().models) {
@@ -160,7 +162,7 @@
   const DemandFigures figures = round.figures(model);
   const PlacementRound::Replicas replicas = round.replicas(model);
   if (replicas.present == 0) {
-    // What waits now, and what would wait if it were not there.
+    // Requests wait now, or would wait if their callers had not been turned away.
     const bool starved =
         figures.unansweredFor >= kStarvedAfter && round.now() < figures.lastArrival + kStarvedLasts;
     if (figures.waiting == 0 && late_.count(model) == 0 && !starved) {
@@ -261,7 +263,8 @@
   decisions_.push_back(std::move(decision));
 }
 
-/// A model that is wanted again later is noted again.
+/// Removes the recorded decisions on models that need no replica now, so that a later decision is
+/// recorded again.
 void PlacementPolicy::forgetNotes(const std::vector<Want>& wanted) {
   std::set<std::string_view> models;
   for (const Want& want : wanted) {
@@ -270,8 +273,8 @@
   std::erase_if(noted_, [&models](const auto& entry) { return models.count(entry.first) == 0; });
 }
 
-/// @return what it costs that a worker can take no other order for that long: of the loads that
-/// come to a worker at the present rate, each would wait for half of it.
+/// @return the cost of a worker being unable to take other orders for that long: loads reach a
+/// worker at the current rate, and each waits for half of that time on average.
 double PlacementPolicy::blockCost(const PlacementRound& round, base::Duration duration) const {
   const double workers = std::max<double>(1.0, static_cast<double>(round.workers().size()));
   const double blocked = seconds(duration);
@@ -279,8 +282,8 @@
   return loadRate_.perSecond(round.now()) / workers * blocked * blocked * kMeanRest;
 }
 
-/// @return what it costs others that a model is taken from the store which a disk has: each model
-/// that waits for the store waits until its next load.
+/// @return the cost to other models of loading from the store a model that some disk already has:
+/// each model that waits for the store waits one load longer.
 double PlacementPolicy::storeCost(const PlacementRound& round, const ModelSpec& model) const {
   if (round.replicas(model.name).copies == 0) {
     return 0;
@@ -292,7 +295,7 @@
   return static_cast<double>(storeQueueBefore_) * interval;
 }
 
-/// @return where the model would serve soonest at the least cost to others.
+/// @return the worker where the model would serve soonest at the least cost to other models.
 PlacementPolicy::Choice PlacementPolicy::choose(PlacementRound& round, const Want& want) const {
   const std::string& name = want.model;
   const ModelSpec& model = *round.spec(name);
--- a/src/registry/placement.h
+++ b/src/registry/placement.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Which model or adapter is to be loaded or unloaded where. Policy only: nothing is ordered here.
+/// The placement policy: decides which model or adapter is loaded or unloaded on which worker. It
+/// only decides; it sends no orders.
 
 #include <limits>
 #include <map>
@@ -19,74 +20,74 @@
 
 enum class OrderOperation : std::uint8_t { load = 0, unload = 1 };
 
-/// What is unloaded to make room, and what that costs.
+/// The models to unload from a worker to free capacity for a load, and the cost of doing so.
 struct Room {
-  std::vector<std::string> unloads;  ///< The cheapest first.
-  double cost = 0;                   ///< In seconds of a request's wait; infinite: no room.
-  /// Some model has requests that soon end by themselves: an unload that waited for them would keep
-  /// its worker from all other orders.
+  std::vector<std::string> unloads;  ///< Models to unload, the cheapest first.
+  double cost = 0;  ///< In seconds of request waiting time; infinite if it can't be freed.
+  /// True if one of the models has running requests that will soon end by themselves. An unload
+  /// would wait for them, and its worker could take no other order meanwhile.
   bool waits = false;
 };
 
-/// A change of what one worker holds.
+/// One load or unload on one worker.
 struct PlacementStep {
   WorkerId worker;
   OrderOperation operation = OrderOperation::load;
   std::string model;
-  std::string adapter;     ///< Empty: the model itself.
-  bool fromStore = false;  ///< The load takes from the weight store's rate.
+  std::string adapter;     ///< Empty if the step is about the model itself.
+  bool fromStore = false;  ///< True if the load counts towards the weight store's rate limit.
 
   bool operator==(const PlacementStep&) const = default;
 };
 
-/// A worker as the policy sees it.
+/// The state of a worker as the policy's input.
 struct PlacementWorker {
   WorkerId id;
-  Holdings holdings;          ///< With adapters that are on their way.
-  bool mayLoad = true;        ///< Models are loaded there at all.
-  bool mayBeOrdered = false;  ///< It is ready, and no order to it is under way.
+  Holdings holdings;          ///< Includes adapters whose load is in progress.
+  bool mayLoad = true;        ///< False if the policy must not load models on this worker.
+  bool mayBeOrdered = false;  ///< True if the worker is ready and no order to it is in progress.
   bool mayTakeAdapters = true;
-  bool serving = true;                  ///< It is neither leaving nor silent nor failing.
-  std::optional<std::string> arriving;  ///< A model that it is loading.
-  std::optional<std::string> retiring;  ///< A model that it is unloading.
-  /// Until the order that is under way is expected to end; zero if there is none.
+  bool serving = true;                  ///< False if it is leaving, unresponsive or failing.
+  std::optional<std::string> arriving;  ///< The model that the worker is loading, if any.
+  std::optional<std::string> retiring;  ///< The model that the worker is unloading, if any.
+  /// Expected time until the order in progress ends; zero if there is none.
   base::Duration busyFor{0};
-  std::uint32_t running = 0;
-  /// By model: adapters that were loaded a short while ago and make no room yet.
+  std::uint32_t running = 0;  ///< Number of requests that run or are queued on the worker.
+  /// Adapters that were loaded so recently that they must not be evicted yet, as (model, adapter).
   std::set<std::pair<std::string, std::string>> newAdapters;
 };
 
-/// Why a model should have another replica, the most urgent last.
+/// The reason why a model should get another replica, the most urgent last.
 enum class WantReason : std::uint8_t {
-  spare,     ///< Its replicas are busy, or the only one might be lost.
-  queueing,  ///< Requests wait at its workers, beyond what replicas on their way will take.
-  cold,      ///< Requests wait, and no worker serves it or is about to.
+  spare,     ///< Its replicas are highly loaded, or it has a single one that might be lost.
+  queueing,  ///< More requests are queued at its workers than replicas being loaded will serve.
+  cold,      ///< Requests wait, and no worker serves the model or is loading it.
 };
 
-/// What was decided about a model that should have another replica.
+/// The decision on a model that should get another replica.
 enum class WantOutcome : std::uint8_t {
-  loaded,          ///< Its load was ordered.
-  roomMade,        ///< An unload was ordered for it.
-  waitsForWorker,  ///< The best worker takes no order now.
-  waitsForUse,     ///< What would make room has requests that soon end.
-  waitsForStore,   ///< The weight store has no place for another load.
-  notWorth,        ///< It would cost others more than it is worth.
-  noWorker,        ///< None could hold it.
+  loaded,          ///< A load of the model was ordered.
+  roomMade,        ///< An unload of another model was ordered to free capacity for it.
+  waitsForWorker,  ///< The best worker can take no order now.
+  waitsForUse,     ///< A model to be unloaded has running requests that will soon end.
+  waitsForStore,   ///< The weight store's limits allow no further load now.
+  notWorth,        ///< The cost to other models exceeds the benefit.
+  noWorker,        ///< No worker can hold the model.
 };
 
-/// A decision with what decided it, for the log.
+/// A placement decision and the figures behind it, for the log.
 struct PlacementDecision {
   std::string model;
   WantReason reason = WantReason::spare;
   WantOutcome outcome = WantOutcome::noWorker;
-  std::uint32_t waiting = 0;     ///< Requests at gateways.
-  std::uint32_t unanswered = 0;  ///< Requests since the last answer.
-  double queued = 0;             ///< Requests that wait for a slot of its workers.
-  double rate = 0;               ///< Arrivals a second.
+  std::uint32_t waiting = 0;     ///< Requests that wait at gateways.
+  std::uint32_t unanswered = 0;  ///< Requests since the last one that was answered.
+  double queued = 0;             ///< Requests that wait for a slot of the model's workers.
+  double rate = 0;               ///< Arrivals per second.
   std::uint32_t replicas = 0;
-  WorkerId worker;     ///< The best one, if any.
-  std::string victim;  ///< What makes room there first; empty: nothing needs to.
-  /// @name In seconds of a request's wait
+  WorkerId worker;     ///< The best worker, if any.
+  std::string victim;  ///< The first model to unload there; empty if none has to be.
+  /// @name In seconds of request waiting time
   /// @{
   double cost = 0;
   double worth = 0;
@@ -94,7 +95,7 @@
   bool fromStore = false;
 };
 
-/// A model that is asked for and that no worker will serve for some time.
+/// A requested model that no worker will serve for some time, and the expected delay.
 struct ModelOutlook {
   std::string model;
   base::Duration availableIn{0};
@@ -102,48 +103,49 @@
 
 class PlacementRound;
 
-/// Running requests per replica, as a share of a worker's slots, from which another replica is
-/// added. Far below 1: reading the prompts of others makes pauses in a stream long before slots run
-/// out. See docs/DECISIONS.md.
+/// Running requests per replica, as a share of a worker's slots, above which another replica is
+/// added. It is far below 1 because processing the prompts of other requests stalls a stream long
+/// before the slots run out. See docs/DECISIONS.md.
 constexpr double kScaleOutShare = 0.15;
 
-/// Wakes models and adapters that requests wait for, and keeps further replicas of busy models.
-/// Kept by the leader for one service.
+/// Loads models and adapters on demand, and adds replicas of busy models. The leader has one policy
+/// for each service.
 ///
-/// Each run decides anew, the most wanted model first, where a model would serve soonest at the
-/// least cost to others; it orders the first step if that worker can take it now. A worker that is
-/// busy, or a load that the store has no place for, is waited for without keeping anybody else from
-/// being ordered. What was begun (`Wake`) is preferred, so that room that was made is used.
+/// Each run starts from scratch and takes the models in the order of their demand. For each it
+/// finds the worker that would serve the model soonest at the least cost to other models, and
+/// orders the first step if that worker can take it now. A model that has to wait for a busy worker
+/// or for the weight store holds up no other model. The worker where capacity is already being
+/// freed for a model (`Wake`) is preferred, so that this capacity is used.
 ///
-/// Requests that queue at the workers of a model count like those that wait for a cold one: both
-/// are late until another replica serves. A model that has replicas already waits for no busy
-/// worker, since it needs capacity rather than a certain place.
+/// Requests that are queued at a model's workers count like requests that wait for a cold model:
+/// both are late until another replica serves. A model that already has replicas doesn't wait for a
+/// busy worker, since it needs capacity rather than a particular worker.
 class PlacementPolicy {
  public:
   explicit PlacementPolicy(std::string service) : service_(std::move(service)) {}
 
-  /// @return what to order now, one step a worker at most.
-  /// @param postponed models that are not to be loaded now.
-  /// @param outside by model, how many workers beside these serve it.
+  /// @return the steps to order now, at most one for each worker.
+  /// @param postponed models that must not be loaded now.
+  /// @param outside number of workers not in `workers` that serve a model, by model.
   std::vector<PlacementStep> plan(const catalog::EngineSpec& engine,
                                   const std::vector<PlacementWorker>& workers,
                                   const DemandBook& demand, StoreScheduler& store,
                                   base::TimePoint now, const std::set<std::string>& postponed = {},
                                   const std::map<std::string, std::uint32_t>& outside = {});
-  /// @return what the last run decided; of a model that goes on waiting for the same only once.
+  /// @return the decisions of the last run, without those that repeat why a model still waits.
   std::vector<PlacementDecision> takeDecisions() { return std::exchange(decisions_, {}); }
-  /// @return as of the last run.
+  /// @return the models that come late, as of the last run.
   const std::vector<ModelOutlook>& outlook() const { return outlook_; }
 
  private:
-  /// Room is being made for a model.
+  /// The worker on which capacity is being freed for a model.
   struct Wake {
     WorkerId worker;
     base::TimePoint since;
   };
-  /// A model that should have another replica.
+  /// A model that should get another replica.
   struct Want {
-    double worth = 0;  ///< By which wants are ordered among those for which requests wait or not.
+    double worth = 0;  ///< Sort key among the urgent candidates, and among those that aren't.
     std::string model;
     WantReason reason = WantReason::spare;
 
@@ -180,18 +182,18 @@
 
   const std::string service_;
   std::map<std::string, Wake> wakes_;  ///< By model.
-  DecayingRate loadRate_;              ///< Of loads of models, on all workers.
-  /// Seconds that models decided on in this run keep their workers, beyond the present order.
+  DecayingRate loadRate_;              ///< Rate of model loads on all workers.
+  /// Seconds for which loads decided in this run will keep a worker busy, beyond its current order.
   std::map<WorkerId, double> queued_;
   std::vector<PlacementDecision> decisions_;
   std::vector<ModelOutlook> outlook_;
-  /// Models whose callers are told that they come too late, and since when: nobody waits for them
-  /// any more, and they are wanted all the same.
+  /// Models that were announced as late, and since when. Their callers no longer wait for them, but
+  /// they are still to be loaded.
   std::map<std::string, base::TimePoint> late_;
-  /// Loads of cold models from the store that this run could not begin, and the one before.
+  /// Loads of cold models from the store that could not be started, in this run and the previous.
   std::size_t storeQueue_ = 0;
   std::size_t storeQueueBefore_ = 0;
-  /// By model, what was last noted of those that should have another replica.
+  /// The last recorded decision on each model that should get another replica, by model.
   std::map<std::string, std::pair<WantReason, WantOutcome>> noted_;
 };
 
--- a/src/registry/placement_round.cpp
+++ b/src/registry/placement_round.cpp
@@ -10,53 +10,55 @@
 using catalog::ModelSpec;
 
 /// @name Cost of unloading a replica
-/// See docs/DECISIONS.md.
+/// All costs are in seconds of request waiting time. See docs/DECISIONS.md.
 /// @{
-/// Of a surplus one, and of the second last one.
+/// Cost of unloading a surplus replica, and of unloading the second last one.
 constexpr double kSurplusCost = 0.1;
 constexpr double kSecondCost = 0.4;
-/// For each arrival a second.
+/// The corresponding additional costs for each arrival per second.
 constexpr double kSurplusRateCost = 0.05;
 constexpr double kSecondRateCost = 0.2;
-/// If the others would be loaded beyond kScaleOutShare without it, for each time that share.
+/// Cost if the load of the remaining replicas would exceed kScaleOutShare, for each multiple of it.
 constexpr double kOverloadCost = 5.0;
-/// An unload waits for the requests that run: for each one, and at most.
+/// Cost for each running request, since an unload waits for them, and its maximum.
 constexpr double kRunningCost = 1.0;
 constexpr double kMaxRunningCost = 4.0;
-/// For each adapter that is dropped with it.
+/// Cost for each adapter that is unloaded with the model.
 constexpr double kHeldAdapterCost = 0.05;
-/// A replica that somebody waits for never makes room.
+/// Cost that keeps a replica for which requests wait from ever being unloaded.
 constexpr double kWantedCost = 1000.0;
 /// @}
 
 /// @name Cost of unloading the last replica
 /// @{
-/// Whose next request would be late, and for each arrival a second; more if it was used lately.
+/// Cost if the next request would be late, the additional cost for each arrival per second, and
+/// the additional cost if the model was requested within kRecentUse.
 constexpr double kLastCost = 0.5;
 constexpr double kLastRateCost = 5.0;
 constexpr double kRecentUseCost = 1.0;
 constexpr base::Duration kRecentUse = std::chrono::seconds(10);
-/// That was loaded for callers of whom none has been answered yet, for each of them and at most,
-/// while they come: unloaded now, its load was for nothing. They count like requests that run.
+/// Cost for each request that was not answered since the load, and its maximum, while requests keep
+/// coming: if the model were unloaded now, its load would be wasted. The values are those of
+/// running requests.
 constexpr double kUnansweredCost = 1.0;
 constexpr double kMaxUnansweredCost = 4.0;
-/// Whose next request would still be in time.
+/// Cost if the next request would still be in time, and for each arrival per second.
 constexpr double kRecoverableCost = 0.1;
 constexpr double kRecoverableRateCost = 0.5;
-/// Beside the load itself, until a model that was unloaded serves again: a free worker, the unload
-/// of another model, and the way of the demand and of the news.
+/// Time until an unloaded model serves again, without the load itself: waiting for a free worker,
+/// unloading another model, and reporting the demand and the result.
 constexpr double kReturnOverheadSeconds = 0.6;
-/// Of a model that no disk would have any more, in addition.
+/// Additional cost if no disk would hold the model any more.
 constexpr double kLastCopyCost = 2.0;
 /// @}
 
-/// Arrivals a second from which a model is taken never to be idle: streams last some seconds.
+/// Arrivals per second from which a model is assumed never to become idle: streams last seconds.
 constexpr double kBusyRate = 0.6;
 
-/// Each level of priority counts as this much of the one before it.
+/// Weight of a priority level relative to the next higher one.
 constexpr double kPriorityShare = 0.7;
 
-/// Of holding up adapters, for each arrival a second, and at most.
+/// Cost of delaying adapter loads for each arrival per second, and its maximum.
 constexpr double kAdapterCost = 2.0;
 constexpr double kMaxAdapterCost = 4.0;
 
@@ -81,7 +83,7 @@
   summarise();
 }
 
-/// Counts what the rest asks for again and again.
+/// Computes the specifications and counts by model, which the rest of the run reads many times.
 void PlacementRound::summarise() {
   for (const ModelSpec& model : engine_.models) {
     specs_.emplace(model.name, &model);
@@ -92,7 +94,7 @@
     const bool takesAdapters = worker.serving && !worker.arriving && !worker.retiring;
     for (const HeldModel& held : worker.holdings.models) {
       if (worker.holdings.find(held.name) != &held) {
-        continue;  // Named twice by its worker.
+        continue;  // The worker lists the model twice.
       }
       Replicas& replicas = replicas_[held.name];
       const std::uint32_t running = demand_.running(worker.id, held.name);
@@ -210,7 +212,7 @@
 }
 
 double PlacementRound::unloadCost(const PlacementWorker& worker, const HeldModel& held) const {
-  // One that is still coming serves nobody yet.
+  // A replica that is still being loaded serves no requests yet, so it doesn't count.
   const std::uint32_t count = replicas(held.name).serving;
   const double running = demand_.running(worker.id, held.name);
   const double wait = std::min(kRunningCost * running, kMaxRunningCost);
@@ -227,8 +229,8 @@
                             : kSurplusCost + kSurplusRateCost * rate);
 }
 
-/// A model whose callers wait longer than it takes to come back may fall to disk; one that they
-/// expect sooner, or that would have to come from the store, should stay.
+/// A model whose target latency covers a reload from disk is cheap to unload. A model that is
+/// expected sooner, or that would have to be loaded from the store, is expensive.
 double PlacementRound::lastReplicaCost(const PlacementWorker& worker,
                                        const std::string& model) const {
   const DemandFigures wanted = figures(model);
@@ -252,7 +254,8 @@
   return cost + kLastCost + kLastRateCost * urgency * wanted.rate + (recent ? kRecentUseCost : 0);
 }
 
-/// @return true if the model has requests there, and few enough come that it will soon have none.
+/// @return true if the model has requests on the worker, but so low an arrival rate that it will
+/// soon have none.
 bool PlacementRound::becomesIdle(const PlacementWorker& worker, const std::string& model) const {
   return demand_.running(worker.id, model) > 0 && replicas(model).serving <= 1 &&
          figures(model).rate < kBusyRate;
--- a/src/registry/planning_pool.cpp
+++ b/src/registry/planning_pool.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Adds so many workers, in a circle from `start`.
+/// Adds at most `most` workers from `start` on, continuing with the first after the last.
 void addFrom(const WorkerIndex::Workers& workers, const WorkerId& start, std::size_t most,
              std::set<WorkerId>& chosen) {
   auto next = workers.lower_bound(start);
--- a/src/registry/planning_pool.h
+++ b/src/registry/planning_pool.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The workers that a plan for a large service looks at.
+/// Selection of the workers that a placement plan for a large service considers.
 
 #include <cstdint>
 #include <map>
@@ -12,27 +12,29 @@
 
 namespace walnut::registry {
 
-/// Where replicas are plenty, a plan needs who is busy, some holders of what is asked for, and some
-/// workers that may load; not each of thousands. How many more hold a model is counted.
+/// The workers that a plan considers. With thousands of workers a plan needs the busy ones, some
+/// holders of each requested model, and some workers that may load models. Of the other holders of
+/// a model only the number is needed.
 struct PlanningPool {
   std::set<WorkerId> workers;
-  std::set<WorkerId> targets;         ///< Of these, who may be ordered to load a model.
-  std::set<WorkerId> adapterHolders;  ///< Of these, who may be ordered to load an adapter.
-  std::map<std::string, std::uint32_t> outside;  ///< By model, how many others serve it.
+  std::set<WorkerId> targets;         ///< Members of `workers` that may be ordered to load models.
+  std::set<WorkerId> adapterHolders;  ///< Members of `workers` that may be ordered adapters.
+  std::map<std::string, std::uint32_t> outside;  ///< Number of other workers that serve a model.
 };
 
-/// @name Workers of one service
+/// @name Numbers of workers of one service
 /// @{
-/// Up to so many, a plan looks at all of them.
+/// A service with at most this many workers is planned with all of them.
 inline constexpr std::size_t kMostPlanned = 512;
 inline constexpr std::size_t kPlannedTargets = 64;
-inline constexpr std::size_t kPlannedHolders = 4;  ///< Of each model that is asked for.
+inline constexpr std::size_t kPlannedHolders = 4;  ///< Holders of each requested model.
 /// @}
-/// What nobody has asked for in this time needs no plan.
+/// A model or adapter that was not requested within this time is not planned for.
 inline constexpr base::Duration kPlannedSince = std::chrono::seconds(20);
 
-/// @param start where among the workers the targets begin: the same for one leadership, so that
-/// what is known of them stays known.
+/// Selects the workers to consider in a plan for a large service.
+/// @param start the worker from which targets are chosen, in the order of identifiers. It is the
+/// same throughout a leadership, so that the reports already read from the targets stay useful.
 PlanningPool choosePlanningPool(const std::string& service, const WorkerIndex& index,
                                 const DemandBook& demand, const WorkerId& start,
                                 base::TimePoint now);
--- a/src/registry/quota_ledger.cpp
+++ b/src/registry/quota_ledger.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/// Share of the overshoot and the slack that the capacity takes. The rest is for what can't be
-/// known to the token: gateways of a former leader that have not asked yet.
+/// Share of the overshoot and the slack that is part of the capacity. The rest is reserved for
+/// tokens that aren't known exactly: those held by gateways of a previous leader that have not sent
+/// a request yet.
 constexpr double kToleranceUsed = 0.6;
-/// Share of the same that a new leader begins with: requests that come before the rate has brought
-/// anything are let through.
+/// Share of the overshoot and the slack that a new leader starts with, so that requests are
+/// admitted before the rate has added any tokens.
 constexpr double kToleranceAtStart = 0.2;
-/// Seconds of the rate that a bucket holds at the least, for a tenant that has neither a burst nor
-/// a tolerance.
+/// Least capacity in seconds of the rate, for a tenant that has neither a burst nor a tolerance.
 constexpr double kLeastCapacitySeconds = 0.25;
-/// Share of what is in the bucket that one gateway is granted ahead of need, and only while more
-/// than a share of the capacity is there: requests to come may come elsewhere.
+/// Share of the bucket's level that one gateway is granted in advance, and the share of the
+/// capacity above which this is done. Future requests may come at other gateways.
 constexpr double kAheadShare = 0.125;
 constexpr double kAheadAbove = 0.3;
-/// Without a request that was refused, until a quota counts as kept again.
+/// Time without a refused request after which a quota no longer counts as exhausted.
 constexpr base::Duration kExhaustedFor = std::chrono::seconds(2);
 constexpr base::Duration kLongestRetryAfter = std::chrono::seconds(8);
 constexpr base::Duration kShortestRetryAfter = std::chrono::milliseconds(50);
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-/// What a window may hold beyond the rate and the burst.
+/// @return the units that a window may contain beyond the rate and the burst.
 double QuotaLedger::allowance(const catalog::Tenant& tenant) const {
   return options_.overshoot * (tenant.unitsPerSecond * seconds(options_.window) + tenant.burst) +
          options_.slack;
@@ -102,7 +102,7 @@
   for (const QuotaClaim& claim : request.claims) {
     const auto found = buckets_.find(claim.owner);
     if (found == buckets_.end()) {
-      // No limit is known here; the gateway's document may be another one.
+      // No limit is known here; the gateway may have a different version of the document.
       answer.shares.push_back({claim.owner, claim.needed, base::Duration::zero()});
       continue;
     }
@@ -118,7 +118,8 @@
   return bucket.level >= needed ? needed : bucket.level >= first ? first : 0;
 }
 
-/// What a gateway holds without need is missed elsewhere.
+/// @return the tokens to grant for future requests. They are few, because tokens that a gateway
+/// holds without need are missing at the others.
 double QuotaLedger::grantedAhead(const Bucket& bucket, double ahead, base::TimePoint now) {
   if (bucket.terms.wholeUnits) {
     const bool scarce = bucket.exhausted && now < bucket.shortAt + kExhaustedFor;
@@ -135,7 +136,7 @@
   refill(bucket, now);
   bucket.level = std::min(bucket.level + std::max(0.0, claim.returned),
                           std::max(bucket.terms.capacity - bucket.outside, 0.0));
-  // Less than a request needs would lie at the gateway, and be missed elsewhere.
+  // A grant of less than a request needs would be of no use to this gateway, and missing at others.
   const double needed = std::max(0.0, claim.needed);
   const double first = std::clamp(claim.first, 0.0, needed);
   double grant = granted(bucket, needed, first);
@@ -149,7 +150,7 @@
   hold(bucket, gateway, held + grant, now + kQuotaLease);
   QuotaShare share{claim.owner, grant, base::Duration::zero()};
   if (!enough) {
-    // Callers are sent away in turn: each is told when what was refused before it will have passed.
+    // Callers get increasing retry times: each time covers the units refused before it.
     const double most = bucket.terms.unitsPerSecond * seconds(kLongestRetryAfter);
     bucket.backlog = std::min(bucket.backlog + needed - grant, most);
     share.retryAfter = timeFor(bucket.backlog, bucket.terms.unitsPerSecond);
--- a/src/registry/quota_ledger.h
+++ b/src/registry/quota_ledger.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Token buckets that all gateways share, of tenants with a quota and of workers with a limit: what
-/// each gateway may let through.
+/// Token buckets shared by all gateways, for tenants with a quota and workers with a limit. They
+/// decide how many requests each gateway may admit.
 
 #include <map>
 #include <string>
@@ -14,42 +14,44 @@
 
 namespace walnut::registry {
 
-/// How a bucket fills.
+/// The parameters of a bucket.
 struct BucketTerms {
   double unitsPerSecond = 0;
   double capacity = 0;
-  double atStart = 0;       ///< What it holds when it is new.
-  bool wholeUnits = false;  ///< Granted are whole units only: one is a request.
+  double atStart = 0;       ///< Initial level of a new bucket.
+  bool wholeUnits = false;  ///< True if a unit is a request, so that only whole units are granted.
 };
 
-/// A token bucket for each owner, parts of which are out at gateways. Kept by the leader.
+/// A token bucket for each owner. Gateways are granted shares of its tokens under a lease. The
+/// leader has one ledger for tenants and one for workers.
 ///
-/// Invariant: what is in the bucket and what is out at gateways never exceed the capacity together,
-/// so that in any span all gateways spend at most the capacity and what the rate brings in that
-/// span, however unevenly the requests come. What a gateway holds ends with its lease: one that is
-/// not heard any more may still spend until then, and is taken to have spent all.
+/// Invariant: the tokens in the bucket and those granted to gateways and not yet spent never exceed
+/// the capacity together. In any time span all gateways therefore spend at most the capacity plus
+/// the rate times the span, however unevenly the requests come. A granted share expires with its
+/// lease. A gateway without contact may still spend its share until then, and is assumed to have
+/// spent all of it.
 ///
-/// A new leader knows nothing of what was granted before. It begins with little, and what gateways
-/// say they hold counts as out; what a gateway holds that has not asked yet ends within
-/// `kQuotaLease` of its last question to the former leader.
+/// A new leader doesn't know what was granted before. Its buckets start nearly empty, and the
+/// shares that gateways report count as granted. The share of a gateway that has not sent a request
+/// yet expires within `kQuotaLease` of its last request to the previous leader.
 class QuotaLedger {
  public:
   explicit QuotaLedger(const QuotaOptions& options) : options_(options) {}
 
-  /// Each tenant with a quota, and no other owner, has a bucket from now on.
+  /// Replaces the owners: from now on exactly the tenants with a quota have a bucket.
   void setTenants(const std::vector<catalog::Tenant>& tenants, base::TimePoint now);
   void setBucket(const std::string& owner, const BucketTerms& terms, base::TimePoint now);
   void removeBucket(const std::string& owner) { buckets_.erase(owner); }
   bool has(const std::string& owner) const { return buckets_.count(owner) != 0; }
   QuotaGrant grant(protocol::ConnectionId gateway, const QuotaRequest& request,
                    base::TimePoint now);
-  /// More was asked of a bucket than there is, or it has enough again.
+  /// A bucket that ran out of tokens, or again has enough for all requests.
   struct Change {
     std::string owner;
     bool exhausted = false;
     double unitsPerSecond = 0;
-    double held = 0;  ///< Out at gateways.
-    base::Duration formerFor{0};
+    double held = 0;              ///< Unspent tokens granted to gateways.
+    base::Duration formerFor{0};  ///< Time since the previous change.
   };
   std::vector<Change> takeChanges() { return std::exchange(changes_, {}); }
 
@@ -62,12 +64,12 @@
     BucketTerms terms;
     double level = 0;
     double outside = 0;  ///< Sum of the holdings.
-    double backlog = 0;  ///< Refused, and told to come back when the rate will have brought it.
+    double backlog = 0;  ///< Refused units whose callers were told to retry once they are refilled.
     base::TimePoint refilledAt;
     std::map<protocol::ConnectionId, Holding> holdings;
     bool exhausted = false;
     base::TimePoint changedAt;
-    base::TimePoint shortAt;  ///< When it last had less than was needed.
+    base::TimePoint shortAt;  ///< When a request last needed more than the bucket had.
   };
 
   double allowance(const catalog::Tenant& tenant) const;
--- a/src/registry/store_rate.cpp
+++ b/src/registry/store_rate.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Loads may begin that much apart from when they were ordered, some sooner than others.
+/// Variation of the delay between the order of a load and its start.
 constexpr base::Duration kOrderJitter = std::chrono::milliseconds(50);
-/// Loads that a window may hold beyond the rate and its overshoot, less one for safety.
+/// Loads that a window may contain beyond the rate and its overshoot, less one for safety.
 constexpr double kBurstBeyondOvershoot = 2.0;
-/// At the end of former leaders' loads: they may have used the burst.
+/// Tokens at the end of previous leaders' loads, which may have used up the burst.
 constexpr double kTokensAfterOthers = 1.0;
-/// In this time an order without a clear answer is carried out, or never.
+/// An order with an unclear outcome is carried out within this time or never.
 constexpr base::Duration kUnclearFor = std::chrono::seconds(12);
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
--- a/src/registry/store_rate.h
+++ b/src/registry/store_rate.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The rate at which loads from the weight store may begin.
+/// Rate limit on the start of loads from the weight store.
 
 #include <deque>
 #include <optional>
@@ -9,34 +9,35 @@
 
 namespace walnut::registry {
 
-/// Loads are counted in any window of that length; a window may hold the rate's share of them times
-/// the overshoot, and a few more.
+/// The window in which starts of loads are counted. Any window of this length may contain the rate
+/// times its length times the overshoot, and a few loads more.
 struct StoreWindow {
   base::Duration length = std::chrono::seconds(5);
   double overshoot = 1.1;
 };
 
-/// What a leader knows of the loads that former leaders began.
+/// What a new leader knows of the loads that previous leaders ordered.
 struct FormerLoads {
-  /// None began after that; never: not known; nothing: there were none at all.
+  /// No such load starts after this time. `kNever` means unknown; no value means that previous
+  /// leaders ordered none.
   std::optional<base::TimePoint> endedAt = base::kNever;
 };
 
-/// A token bucket, so that no window holds more loads than allowed, wherever it begins. A load
-/// whose order had no clear answer may begin some seconds later: while there are such, the bucket's
-/// burst is kept for them.
+/// A token bucket that limits the start of loads, so that no window contains more loads than
+/// allowed, wherever it starts. A load whose order had no clear outcome may start some seconds
+/// later; the bucket's burst is reserved for such loads meanwhile.
 class StoreRate {
  public:
   StoreRate() = default;
   explicit StoreRate(const FormerLoads& former) : former_(former) {}
 
-  /// @return loads that may begin in that time from the first one on, if none began before.
+  /// @return the most loads that may start within that time of the first one, if none preceded it.
   static double mostBegun(double perSecond, const StoreWindow& window, base::Duration duration);
 
-  /// @param perSecond 0: not limited.
+  /// @param perSecond the rate; 0 if it is not limited.
   void setLimit(double perSecond, const StoreWindow& window, base::TimePoint now);
   bool allows() const { return wait(0) == base::Duration::zero(); }
-  /// @return time from the last `setLimit` until a load may begin that so many others precede.
+  /// @return time from the last `setLimit` until a load may start that comes after `before` others.
   base::Duration wait(std::size_t before) const;
   void taken();
   void unclear(base::TimePoint now) { unclear_.push_back(now); }
@@ -49,8 +50,8 @@
   double perSecond_ = 0;
   double burst_ = 1;
   double tokens_ = 0;
-  std::optional<base::TimePoint> refilledAt_;  ///< Nothing: there was no limit yet.
-  std::deque<base::TimePoint> unclear_;        ///< Oldest first.
+  std::optional<base::TimePoint> refilledAt_;  ///< Empty until the limit is first set.
+  std::deque<base::TimePoint> unclear_;        ///< Times of unclear outcomes, the oldest first.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/store_scheduler.cpp
+++ b/src/registry/store_scheduler.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// A load that takes less than this share of its declared time came from a disk after all.
+/// A load that takes less than this share of its declared time was served by a disk after all.
 constexpr double kLeastShare = 0.6;
-/// A load that is later than this, as a multiple of its declared time, tells of a crowded store
-/// before it ends; again each time it is that much later.
+/// A load that takes longer than this multiple of its declared time is a sign of an overloaded
+/// store before it ends, and again each time its lateness grows by the same factor.
 constexpr double kOverdue = 1.3;
 
-/// Between the end of a load and its being known here, at most if nothing is wrong: the heartbeat
-/// that tells it, and a busy leader. Short loads would seem late without it.
+/// Longest delay between the end of a load and its notification here in normal operation: the
+/// interval of the heartbeat that reports it, and a busy leader. Without this allowance short loads
+/// would seem late.
 constexpr base::Duration kNewsDelay = std::chrono::milliseconds(300);
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -36,7 +37,8 @@
   noteOverdue(now);
 }
 
-/// Loads of lost workers are overdue as well: only where most loads are, the store is crowded.
+/// Observes overdue loads before they end. Loads of lost workers are overdue too, so the store
+/// counts as overloaded only if more than half of the loads are.
 void StoreScheduler::noteOverdue(base::TimePoint now) {
   const auto overdue = [now](const auto& entry) { return entry.second.lateness(now) >= kOverdue; };
   const auto count = std::count_if(loads_.begin(), loads_.end(), overdue);
--- a/src/registry/store_scheduler.h
+++ b/src/registry/store_scheduler.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When a load from the weight store may begin: the store's rate, and the loads under way.
+/// Scheduler for loads from the weight store.
 
 #include <map>
 
@@ -10,41 +10,48 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader for one service. A worker has one load under way at most.
+/// Decides when a load from the weight store may start, by the store's rate limit and an adaptive
+/// limit on the loads in progress. The leader has one for each service. A worker has at most one
+/// load in progress.
 class StoreScheduler {
  public:
   StoreScheduler() = default;
   explicit StoreScheduler(const FormerLoads& former) : rate_(former) {}
 
-  /// @param longestLoad that a model declares. @param patience the longest that a caller waits.
+  /// Sets the times that decide whether the concurrency limit starts cautiously.
+  /// @param longestLoad longest store load time that a model declares.
+  /// @param patience longest time that a caller waits.
   void setPatience(base::Duration longestLoad, base::Duration patience) {
     concurrency_.setCautious(patience > base::Duration::zero() && 2 * longestLoad > patience);
   }
-  /// To be called before the rest, with the present time.
+  /// Sets the rate limit and the current time. Has to be called before the other functions.
   void setLimit(double perSecond, const StoreWindow& window, base::TimePoint now);
-  /// Loads under way that a former leader ordered, by workers that are busy with an unknown order.
+  /// Sets the number of loads in progress that a previous leader ordered, taken as the number of
+  /// workers that are busy with an unknown order.
   void setForeign(std::size_t loads) { foreign_ = loads; }
 
-  /// @return true if a load may begin now.
+  /// @return true if a load may start now.
   bool allows() const { return rate_.allows() && underWay() < concurrency_.limit(); }
   std::size_t underWay() const { return loads_.size() + foreign_; }
   std::size_t limit() const { return concurrency_.limit(); }
-  /// @return time until a place is free, of the load that ends first; zero if one is free.
+  /// @return zero if a load may start now, otherwise the time until the first load is expected to
+  /// end.
   base::Duration expectedWait(base::TimePoint now) const;
-  /// @return time until a load may begin that so many others wait before, each of that length.
+  /// @return time until a load may start that comes after `before` others of length `load`.
   base::Duration expectedWait(base::TimePoint now, std::size_t before, base::Duration load) const;
 
-  /// @name The life of a load
+  /// @name State changes of a load
   /// @{
-  /// @param declaredTime that it takes if the store isn't crowded.
+  /// @param declaredTime duration of the load if the store isn't overloaded.
   void ordered(const WorkerId& worker, base::Duration declaredTime, base::TimePoint now);
   void accepted(const WorkerId& worker, base::TimePoint now);
-  /// Nobody knows whether it begins: it takes from the rate for some time, but no place, as its
-  /// worker may be lost. If it did begin, the worker's next report tells, see `setForeign`.
+  /// It is unknown whether the load starts. It counts towards the rate for some time, but not as a
+  /// load in progress, since its worker may be lost. If it did start, the worker's next report
+  /// shows it, see `setForeign`.
   void unclear(const WorkerId& worker, base::TimePoint now);
-  /// @return its time as a multiple of the declared one; 0 if there is no such load.
+  /// @return the load's duration as a multiple of the declared one; 0 if there is no such load.
   double ended(const WorkerId& worker, base::TimePoint now);
-  /// It was refused, or its worker is lost.
+  /// The load was refused, or its worker is lost.
   void abandoned(const WorkerId& worker) { loads_.erase(worker); }
   /// @}
 
@@ -54,7 +61,7 @@
     base::TimePoint begunAt;
     base::Duration declaredTime{0};
     std::size_t underWayAtStart = 1;
-    double notedLateness = 1;  ///< Up to which it was taken note of before its end.
+    double notedLateness = 1;  ///< The last lateness that was observed before the load's end.
 
     double lateness(base::TimePoint now) const;
     base::TimePoint expectedEnd(std::size_t limit) const;
@@ -68,7 +75,7 @@
   std::map<WorkerId, Load> loads_;
   std::uint64_t lastLoad_ = 0;
   std::size_t foreign_ = 0;
-  base::TimePoint limitReachedAt_;  ///< Last time.
+  base::TimePoint limitReachedAt_;  ///< When the concurrency limit was last reached.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/turn_limit.h
+++ b/src/registry/turn_limit.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Bounds how much of a kind of work is done within a short time, however much is asked for, so
-/// that a loop gets back to its other work.
+/// Rate limit on one kind of work in an event loop, so that the loop gets back to its other work
+/// however much of it is requested.
 
 #include <cstddef>
 
@@ -9,8 +9,8 @@
 
 namespace walnut::registry {
 
-/// At most `most` items in each span of `spacing`, counted from the first of them. An item may
-/// count as several.
+/// Admits at most `most` items in each interval of length `spacing`, which starts with its first
+/// item. An item may count as several; the last one admitted may exceed the limit.
 class TurnLimit {
  public:
   TurnLimit(std::size_t most, base::Duration spacing) : most_(most), spacing_(spacing) {}
@@ -27,7 +27,7 @@
     count_ += amount;
     return true;
   }
-  /// @return when `take` may succeed; a time long past: at once.
+  /// @return when `take` may next succeed; a time in the distant past if it may now.
   base::TimePoint next() const {
     return count_ < most_ ? base::TimePoint::min() : began_ + spacing_;
   }
--- a/src/registry/worker_limit_book.cpp
+++ b/src/registry/worker_limit_book.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// @name Requests that a bucket holds: seconds of the limit, and so many
-/// Twice that, and the limit for 4 s, is within one and a half times the limit for 4 s and 5
-/// requests, which is what the users' rule allows: a former leader may have granted as much.
+/// @name Capacity of a bucket: a fixed number of requests, and the limit for a number of seconds
+/// The users' rule allows one and a half times the limit for 4 s, and 5 requests. Two capacities
+/// and the limit for 4 s are within it; two, because a previous leader may have granted one too.
 /// @{
 constexpr double kCapacitySeconds = 0.5;
 constexpr double kCapacityRequests = 2;
 /// @}
-/// After a request that there was no share for. Longer than it takes to bring up its models
-/// elsewhere and to see that they are served there: counted as a replica again it makes those seem
-/// surplus.
+/// Time for which a worker counts as over its limit after a request that got no share. It is longer
+/// than loading the worker's models elsewhere and detecting that they are served there: if it
+/// counted as a replica again too soon, the new replicas would seem surplus.
 constexpr base::Duration kShortLasts = std::chrono::seconds(20);
-/// Ends that are remembered, so that reports of what was named before change nothing.
+/// Number of ended limits that are remembered, so that late reports of them have no effect.
 constexpr std::size_t kMostEnded = 4096;
 
 }  // namespace
--- a/src/registry/worker_limit_book.h
+++ b/src/registry/worker_limit_book.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The limits that workers name, as gateways report them, and what each gateway may send within
-/// them.
+/// Request rate limits that workers state in their answers, as reported by gateways, and the shares
+/// of them that are granted to gateways.
 
 #include <map>
 #include <optional>
@@ -14,45 +14,47 @@
 
 namespace walnut::registry {
 
-/// Kept by the leader. A worker has a limit from an answer that names one until an answer without
-/// one to a request that was sent after it: answers on different connections overtake one another.
+/// Tracks the limits of workers and grants shares of them to gateways; the leader has one. A worker
+/// has a limit from an answer that states one until an answer without one to a request that was
+/// sent later than that answer came. The times matter because answers on different connections
+/// overtake one another.
 ///
-/// Invariant: what all gateways together are granted of a worker in any span is at most
-/// `capacityOf` its limit and what the limit brings in that span. The rest of what the users' rule
-/// allows is for what gateways hold of a former leader, and send while nobody leads
-/// (gateway/worker_limits.h).
+/// Invariant: the requests granted to all gateways together for a worker in any time span are at
+/// most `capacityOf` its limit plus the limit times the span. The remainder of what the users' rule
+/// allows is reserved for shares that gateways hold from a previous leader and for requests they
+/// send while there is no leader (gateway/worker_limits.h).
 ///
-/// A new leader knows of no limit and has granted nothing: gateways tell it what they believe
-/// before they ask it, and its buckets are empty at first.
+/// A new leader knows no limits and has granted nothing. Gateways report the limits they know
+/// before they request shares, and the buckets are empty at first.
 class WorkerLimitBook {
  public:
   WorkerLimitBook() : ledger_(QuotaOptions{}) {}
 
-  /// A limit that began, changed or ended.
+  /// A new, changed or ended limit.
   struct Change {
     WorkerId worker;
     std::optional<double> perSecond;
     std::optional<double> former;
-    base::Duration age{0};  ///< Of the answer that said so.
+    base::Duration age{0};  ///< Age of the answer that the change follows from.
   };
-  /// @return the changes that the report makes.
+  /// @return the changes that follow from the report.
   std::vector<Change> report(const LimitReport& report, base::TimePoint now);
   ShareGrant grant(protocol::ConnectionId gateway, const ShareRequest& request,
                    base::TimePoint now);
   void forget(const WorkerId& worker);
 
   std::optional<double> limitOf(const WorkerId& worker) const;
-  /// @return true if it was asked for more than its limit lately.
+  /// @return true if gateways recently requested more than the worker's limit.
   bool wasShort(const WorkerId& worker, base::TimePoint now) const;
   std::vector<QuotaLedger::Change> takeChanges() { return ledger_.takeChanges(); }
 
-  /// @return the requests that a bucket holds at most.
+  /// @return the capacity of a bucket in requests.
   static double capacityOf(double limit);
 
  private:
   struct Limit {
     NamedLimit named;
-    base::TimePoint shortUntil;  ///< It counts as asked for too much until then.
+    base::TimePoint shortUntil;  ///< The worker counts as over its limit until then.
   };
 
   std::optional<Change> named(const WorkerId& worker, const LimitSighting& sighting,
@@ -61,7 +63,7 @@
                                  base::TimePoint now);
 
   std::map<WorkerId, Limit> limits_;
-  std::map<WorkerId, base::TimePoint> ended_;  ///< When the answer without a limit came.
+  std::map<WorkerId, base::TimePoint> ended_;  ///< Times of the answers that ended limits.
   QuotaLedger ledger_;
 };
 
