--- a/test/registry/cold_worker_test.cpp
+++ b/test/registry/cold_worker_test.cpp
@@ -1,5 +1,5 @@
-/// A worker that has just started bears few requests, and looks idle to every gateway: told to all
-/// of them at once it gets what all of them have.
+/// Guards against overloading a worker that has just started. It can take few requests, but looks
+/// idle to every gateway; if it were announced to all of them at once, all would send to it.
 
 #include "registry/leader_duties_kit.h"
 
@@ -16,7 +16,7 @@
 constexpr std::size_t kGateways = 60;
 constexpr double kColdPerSecond = 10;
 
-/// As EngineReader, with workers that are cold for 3 s.
+/// Reads documents like EngineReader, with workers that are cold for 3 s.
 class ColdReader : public DocumentReader {
  public:
   base::Result<catalog::Document> read(const std::string& text) const override {
@@ -45,7 +45,7 @@
     }
     runGateways(200ms);
   }
-  /// Every gateway tells of that many requests.
+  /// Reports that many arrivals from every gateway.
   void demandAtAll(std::uint32_t arrivals) {
     for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
       DemandUpdate update;
@@ -68,7 +68,7 @@
       }
     }
   }
-  /// @return how many gateways may send to the worker.
+  /// @return the number of gateways that may send to the worker.
   std::size_t toldInService(const char* worker) const {
     return static_cast<std::size_t>(
         std::count_if(leavingTold.begin(), leavingTold.end(), [worker](const auto& told) {
@@ -82,7 +82,7 @@
   }
 };
 
-/// 60 gateways with 48 requests a second to all of them: 12 of them have 9.6 in all.
+/// The 60 gateways have 48 requests per second together, so 12 of them have 9.6.
 TEST(ColdWorkerTest, itIsToldToSoManyAsSendNoMoreThanItBears) {
   leadCold();
   demandAtAll(8);
@@ -134,7 +134,7 @@
   CHECK_EQUAL(kGateways, toldInService("w3"));
 }
 
-/// As seen on the bench: the leader was killed two seconds after the worker had started.
+/// The leader is killed two seconds after the start of the worker.
 TEST(ColdWorkerTest, aNewLeaderKnowsWhoHasStartedLately) {
   registrations.registered({"w1"}, now);
   now += 2s;
--- a/test/registry/demand_names_test.cpp
+++ b/test/registry/demand_names_test.cpp
@@ -1,5 +1,6 @@
-/// Callers may name models and adapters that don't exist, each time others: in a large fleet, whose
-/// leader remembers who asked for what, such names are not remembered.
+/// Tests that a leader doesn't store the names of nonexistent models and adapters. In a large fleet
+/// the leader stores which gateway requested what, and callers may send new invented names each
+/// time.
 
 #include "leader_duties_kit.h"
 
@@ -52,7 +53,8 @@
     update.demands.push_back({"svc", model, adapter, 1, 1});
     duties->demand(kGateway, update, now);
   }
-  /// @return whether the gateway is told of a worker that has the model only from now on.
+  /// Starts a worker that holds the model.
+  /// @return true if the gateway's view then includes that worker.
   bool toldOnceHeld(const char* model, std::vector<std::string> adapters) {
     startWorker("late", kWorkers + 1);
     duties->stateChanged(now);
@@ -86,7 +88,7 @@
   CHECK_FALSE(toldOnceHeld("a", {"a3"}));
 }
 
-/// A document may have dropped what workers still serve.
+/// A new document may no longer declare a model that workers still serve.
 TEST(DemandNamesTest, whatIsHeldIsToldThoughNothingNamesIt) {
   leadLargeFleet();
   CHECK_FALSE(toldOnceHeld("dropped", {}));
--- a/test/registry/late_model_announcer_test.cpp
+++ b/test/registry/late_model_announcer_test.cpp
@@ -1,4 +1,4 @@
-/// When gateways are told of models that come late: at changes, again and again, and not too often.
+/// Tests that late models are announced to gateways on changes and periodically, but not too often.
 
 #include "registry/late_model_announcer.h"
 
--- a/test/registry/load_backoff_test.cpp
+++ b/test/registry/load_backoff_test.cpp
@@ -1,4 +1,4 @@
-/// When a model whose loads end their workers is loaded again.
+/// Tests the backoff of loads of a model whose loads crash their workers.
 
 #include "registry/load_backoff.h"
 
@@ -13,7 +13,8 @@
   LoadBackoff backoff;
   base::TimePoint now = base::TimePoint(100s);
 
-  /// A load is ordered, and its worker ends a second later.
+  /// Orders a load whose worker ends a second later.
+  /// @return the pause until the next load.
   base::Duration end() {
     const base::TimePoint orderedAt = now;
     now += 1s;
--- a/test/registry/load_concurrency_test.cpp
+++ b/test/registry/load_concurrency_test.cpp
@@ -1,4 +1,4 @@
-/// How many loads at once are allowed, found from how long loads take.
+/// Tests how the limit on concurrent loads follows from the durations of loads.
 
 #include "registry/load_concurrency.h"
 
@@ -11,7 +11,8 @@
   LoadConcurrency concurrency;
   std::uint64_t loads = 0;
 
-  /// Loads that each begin with all places taken, at a store that takes `capacity` at full speed.
+  /// Observes loads that each start with the limit reached, at a store that serves `capacity` loads
+  /// at full speed.
   void play(double capacity, int count) {
     for (int load = 0; load < count; ++load) {
       const auto underWay = static_cast<double>(concurrency.limit());
--- a/test/registry/order_turns_test.cpp
+++ b/test/registry/order_turns_test.cpp
@@ -1,4 +1,5 @@
-/// When a worker may be ordered after a change of leader, and who had better lead after a restart.
+/// Tests when a worker may be ordered after a change of leader, and which server is elected first
+/// after a restart.
 
 #include "registry/order_turns.h"
 
--- a/test/registry/placement_kit.h
+++ b/test/registry/placement_kit.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Services and workers for tests of placement.
+/// Builders of services and workers for placement tests.
 
 #include <initializer_list>
 
@@ -8,7 +8,7 @@
 
 namespace walnut::registry::testing {
 
-/// @return that service with models of these names, each otherwise like `model`.
+/// @return `engine` with added models of these names, which otherwise equal `model`.
 inline catalog::EngineSpec withModels(catalog::EngineSpec engine, catalog::ModelSpec model,
                                       std::initializer_list<const char*> names) {
   for (const char* name : names) {
@@ -18,7 +18,7 @@
   return engine;
 }
 
-/// @return a worker that holds these models and takes orders.
+/// @return a worker that holds these models and may be ordered.
 inline PlacementWorker workerWith(const char* id, std::initializer_list<const char*> models) {
   PlacementWorker worker;
   worker.id = {id};
--- a/test/registry/placement_test.cpp
+++ b/test/registry/placement_test.cpp
@@ -1,4 +1,4 @@
-/// What is loaded and unloaded for a given demand.
+/// Tests which loads and unloads the placement policy orders for a given demand.
 
 #include "registry/placement.h"
 
@@ -46,7 +46,7 @@
     update.demands.push_back({"svc", model, adapter, waiting, arrivals});
     demand.update({gateway}, update, now);
   }
-  /// Requests that run or wait at workers, as some gateway reports them.
+  /// Reports requests that run or are queued at workers, as from one gateway.
   void load(std::initializer_list<WorkerLoad> loads, std::uint64_t gateway = 100) {
     DemandUpdate update;
     update.loads = loads;
@@ -83,7 +83,7 @@
   CHECK_TRUE(policy.outlook()[0].availableIn == 4s);
 }
 
-/// Its callers were told, and wait no more: it is loaded for those who come next.
+/// The callers were notified and no longer wait; the model is loaded for the next requests.
 TEST(PlacementTest, aLateModelIsWantedThoughNobodyWaitsForItAnyMore) {
   store.setPatience(20s, 35s);
   want("a", "", 1, 1);
@@ -294,7 +294,7 @@
   want("rare", "", 1, 1, 2);
   PlacementWorker full = workerWith("full", {"hot"});
   full.running = 16;
-  load({{{"full"}, "hot", 16}});  // The store takes one load at present.
+  load({{{"full"}, "hot", 16}});  // The store allows one load now.
   const auto steps = plan(engine, {full, workerWith("w1", {}), workerWith("w2", {})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("hot", steps[0].model.c_str());
--- a/test/registry/planning_pool_test.cpp
+++ b/test/registry/planning_pool_test.cpp
@@ -1,4 +1,5 @@
-/// A plan for thousands of workers looks at few of them, and decides as if it saw all.
+/// Tests that a plan for thousands of workers considers only a few of them, and that its decisions
+/// are the same as if it considered all.
 
 #include "registry/planning_pool.h"
 
@@ -62,7 +63,7 @@
   CHECK_EQUAL(kPlannedHolders, pool().adapterHolders.size());
 }
 
-/// Else the adapter would be loaded once more.
+/// Guards against loading an adapter again that a worker outside the targets already has.
 TEST(PlanningPoolTest, whoHasTheAdapterIsInIt) {
   index.set(id(3999), "svc", {{"common", 1, {"a1"}}});
   ask("common", "a1", 1);
@@ -75,7 +76,7 @@
   CHECK_EQUAL(kPlannedTargets, pool().workers.size());
 }
 
-/// Thousands that a plan doesn't see serve the model: nothing is loaded for one that waits.
+/// Thousands of workers outside the plan serve the model, so a waiting request causes no load.
 TEST(PlanningPoolTest, aModelThatIsServedOutsideIsNotCold) {
   catalog::EngineSpec engine;
   engine.slots = 4;
--- a/test/registry/slow_store_test.cpp
+++ b/test/registry/slow_store_test.cpp
@@ -1,12 +1,12 @@
-/// A weight store that is slower than the demand for models that no worker holds.
-/// What happened: of 54 models in 36 places, each asked for once in some 4 s, with a store of 1.5
-/// loads a second, two or three in each run of 28 s were asked for again and again and never
-/// served. Why: the store is the scarce thing, and its loads were not spent by what they bring. The
-/// trace of one run: a model asked for nine times between 8 and 25 s was first loaded at 27 s,
-/// after its last caller had left, since the order of wants forgot how many had come in vain; it
-/// was unloaded 2 s later, before anybody was answered; and 143 of 6,360 loads were of models that
-/// another live worker had on its disk. Figures of the pattern: as above, in SlowStore of the
-/// serving simulation; here its single steps.
+/// Guards against models that stay unserved when the weight store is slower than the demand for
+/// models that no worker holds. The pattern, which SlowStore of the serving simulation plays as a
+/// whole: 54 models with capacity for 36, each requested about every 4 s, and a store of 1.5 loads
+/// per second. Two or three models in each run of 28 s were requested repeatedly and never served,
+/// because the store's loads were not given to the models with the highest benefit. In one run a
+/// model that was requested nine times between 8 and 25 s was first loaded at 27 s, after its last
+/// caller had left, because the priority ignored unserved requests. It was unloaded 2 s later,
+/// before any request was served. Also, 143 of 6,360 loads were of models that another live worker
+/// had on its disk.
 
 #include "registry/placement.h"
 #include "registry/placement_kit.h"
@@ -35,7 +35,7 @@
   return withModels(engine, model, models);
 }
 
-/// Its disk has them too.
+/// @return a worker that holds these models in memory and on its disk.
 PlacementWorker workerWithCopies(const char* id, std::initializer_list<const char*> models) {
   PlacementWorker worker = workerWith(id, models);
   worker.holdings.onDisk.assign(models.begin(), models.end());
@@ -77,7 +77,7 @@
   STRCMP_EQUAL("often", steps[0].model.c_str());
 }
 
-/// Nobody comes back after so long: what was asked for an hour ago is no reason now.
+/// Callers don't retry after an hour, so requests that old must not count as unserved.
 TEST(SlowStoreTest, requestsOfLongAgoDoNotCount) {
   report("long-ago", 0, 50);
   now += 60min;
@@ -88,7 +88,7 @@
   STRCMP_EQUAL("now", steps[0].model.c_str());
 }
 
-/// It hears of those that wait, not of when they came.
+/// Gateways report the waiting requests to a new leader, but not their arrivals.
 TEST(SlowStoreTest, aNewLeaderLoadsTheModelThatMoreWaitFor) {
   report("few", 1, 0);
   report("many", 3, 0);
@@ -107,15 +107,15 @@
   STRCMP_EQUAL("other", steps[0].model.c_str());
 }
 
-/// Guards against callers that wait for a model which the rate of the store lets come long after
-/// they have gone.
+/// Guards against callers that wait for a model which the store's rate limit delays until long
+/// after they have left.
 TEST(SlowStoreTest, theRateOfTheStoreTellsWhenAModelComes) {
   const auto engine = engineOf({"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"});
   for (const catalog::ModelSpec& model : engine.models) {
     report(model.name.c_str(), 1, 1);
   }
   CHECK_EQUAL(1, plan(engine, {workerWithCopies("w", {}), workerWithCopies("w2", {})}).size());
-  // The ninth of those that wait begins after 6 s.
+  // The load of the ninth waiting model starts after 6 s.
   base::Duration last{0};
   for (const ModelOutlook& outlook : policy.outlook()) {
     last = std::max(last, outlook.availableIn);
@@ -149,8 +149,8 @@
   STRCMP_EQUAL("left", steps[0].model.c_str());
 }
 
-/// Others wait for the store: what a disk has is waited for, as long as that is less than they
-/// lose.
+/// Other models wait for the store, so a model on a busy worker's disk waits for that worker, as
+/// long as its wait costs less than the delay of the others.
 TEST(SlowStoreTest, whatADiskHasIsNotTakenFromTheStoreWhileOthersWaitForIt) {
   const catalog::EngineSpec engine = engineOf({"copied", "cold1", "cold2", "cold3", "cold4", "x"});
   PlacementWorker busy = workerWithCopies("busy", {});
@@ -172,7 +172,7 @@
   CHECK(steps[0].model != "copied");
 }
 
-/// Nobody waits for the store.
+/// No other model waits for the store.
 TEST(SlowStoreTest, whatADiskHasIsTakenFromAnIdleStoreIfThatIsSooner) {
   const catalog::EngineSpec engine = engineOf({"copied", "x"});
   PlacementWorker busy = workerWithCopies("busy", {});
--- a/test/registry/store_rate_test.cpp
+++ b/test/registry/store_rate_test.cpp
@@ -1,4 +1,4 @@
-/// How many loads may begin in any window.
+/// Tests the limit on the number of loads that start in any window.
 
 #include "registry/store_rate.h"
 
@@ -19,7 +19,7 @@
 
 constexpr double kPerSecond = 3;
 constexpr StoreWindow kWindow{5s, 1.1};
-/// 3 a second for 5 s, a tenth more, and 3.
+/// Bound for 3 loads per second in a window of 5 s: 15, a tenth more, and 3.
 constexpr std::size_t kMostInWindow = 19;
 
 }  // namespace
@@ -28,8 +28,9 @@
   std::optional<StoreRate> store = StoreRate();
   base::TimePoint now = base::TimePoint(100s);
 
-  /// Begins all loads that may begin at each step. @return how many did.
-  /// @param earlier those of the last window, of former leaders as well.
+  /// Starts all loads that may start at each step.
+  /// @return the number of loads started.
+  /// @param earlier start times within the last window, those of previous leaders included.
   std::size_t run(base::Duration duration, std::size_t* mostInWindow = nullptr,
                   std::deque<base::TimePoint>* earlier = nullptr) {
     std::deque<base::TimePoint> own;
@@ -66,10 +67,10 @@
 
 TEST(StoreRateTest, theWholeRateIsUsedInTheLongRun) { CHECK_TRUE(run(100s) >= 299); }
 
-/// Orders take some ms, and some wait for a busy worker's link.
+/// Orders take some milliseconds to arrive, and some are delayed by a worker's busy link.
 TEST(StoreRateTest, noWindowHoldsMoreThanAllowedWhereOrdersArriveUnevenly) {
   constexpr double kLargeRate = 300;
-  constexpr std::size_t kMostInLargeWindow = 1653;  // 300 a second for 5 s, a tenth more, and 3.
+  constexpr std::size_t kMostInLargeWindow = 1653;  // 300 per second for 5 s, a tenth more, and 3.
   std::multiset<base::TimePoint> begun;
   store->setLimit(kLargeRate, kWindow, now);
   now += 60s;
@@ -114,7 +115,7 @@
   CHECK_EQUAL(1, run(20ms));
 }
 
-/// Guards against leaders that take the burst which their predecessor has used.
+/// Guards against new leaders that use a burst which the previous leader has already used.
 TEST(StoreRateTest, noWindowHoldsMoreThanAllowedWhereLeadersFollowOneAnother) {
   base::Random random(1);
   std::deque<base::TimePoint> begun;
@@ -129,7 +130,7 @@
   CHECK_TRUE(most <= kMostInWindow);
 }
 
-/// Shows that the test before would see such leaders.
+/// Shows that noWindowHoldsMoreThanAllowedWhereLeadersFollowOneAnother would detect such leaders.
 TEST(StoreRateTest, leadersThatBeginWithTheBurstWithoutKnowingExceedTheWindow) {
   std::deque<base::TimePoint> begun;
   std::size_t most = 0;
--- a/test/registry/store_scheduler_test.cpp
+++ b/test/registry/store_scheduler_test.cpp
@@ -1,4 +1,4 @@
-/// When loads from the weight store may begin, played against a modelled store.
+/// Tests the scheduling of loads from the weight store against a simulated store.
 
 #include "registry/store_scheduler.h"
 
@@ -17,11 +17,12 @@
 
 constexpr base::Duration kStep = 50ms;
 
-/// A load's time is fixed as it begins, in proportion to the loads under way beyond the capacity.
+/// A store in which the duration of a load is fixed at its start. Beyond the capacity it grows in
+/// proportion to the loads in progress.
 struct ModelledStore {
   double capacity = 4;
   base::Duration declared = 6s;
-  base::Duration newsDelay{0};  ///< From the end of a load until it is told.
+  base::Duration newsDelay{0};  ///< Delay between the end of a load and its notification.
   struct Load {
     WorkerId worker;
     base::TimePoint endsAt;
@@ -50,7 +51,7 @@
     store.ordered(worker, modelled.declared, now);
     store.accepted(worker, now);
   }
-  /// Begins a load whenever one may begin, for that long.
+  /// Simulates that time, and starts a load whenever one may start.
   void play(base::Duration duration) {
     for (const base::TimePoint end = now + duration; now < end; now += kStep) {
       store.setLimit(50, {}, now);
@@ -75,7 +76,7 @@
 TEST(StoreSchedulerTest, aStoreThatTakesFewIsNotCrowded) {
   play(120s);
   CHECK_TRUE(mostUnderWay <= 3 * 4);
-  // 4 in 6 s are the most that this store gives.
+  // The throughput of this store is at most 4 loads in 6 s.
   CHECK_TRUE(done >= 60);
   mostUnderWay = 0;
   play(60s);
@@ -88,8 +89,9 @@
   CHECK_TRUE(store.limit() >= 40);
 }
 
-/// Pattern: loads of 13 to 20 s, callers that wait for 35 s at most, and a store that takes one
-/// load at full speed. Of eight begun at once none ends before all callers have left.
+/// Guards against wasting all loads of a store with a capacity of one: loads take 13 to 20 s and
+/// callers wait for at most 35 s, so that of eight loads started at once none ends before all
+/// callers have left.
 TEST(StoreSchedulerTest, whereLoadsAreLongAStoreThatTakesOneServesItsFirstCallers) {
   modelled.capacity = 1;
   modelled.declared = 18s;
--- a/test/registry/worker_limit_book_test.cpp
+++ b/test/registry/worker_limit_book_test.cpp
@@ -1,4 +1,4 @@
-/// The limits that workers name, as the leader knows them, and what it grants of them.
+/// Tests how the leader tracks the limits of workers and grants shares of them.
 
 #include "registry/worker_limit_book.h"
 
@@ -62,7 +62,7 @@
   CHECK_EQUAL(1, answer.unlimited.size());
 }
 
-/// Another gateway held it up, or was cut off.
+/// A report of a limit may arrive after its end, because its gateway was slow or disconnected.
 TEST(WorkerLimitBookTest, whatWasNamedBeforeTheEndBeginsNothing) {
   named(2);
   now += 1s;
@@ -87,7 +87,7 @@
   CHECK(granted(1, 50) <= WorkerLimitBook::capacityOf(1));
 }
 
-/// Somebody has to hear of its end.
+/// The end of such a limit can only be detected by a request.
 TEST(WorkerLimitBookTest, ofALimitOfZeroARequestIsGrantedNowAndThen) {
   named(0);
   double sum = 0;
--- a/test/registry/worker_status_test.cpp
+++ b/test/registry/worker_status_test.cpp
@@ -1,4 +1,4 @@
-/// What the leader believes of a worker's holdings and of its count of orders.
+/// Tests the leader's knowledge of a worker's holdings and of its order count.
 
 #include "registry/worker_status.h"
 
@@ -89,7 +89,7 @@
   CHECK_TRUE(status.serving(start).at(0).adapters.empty());
   CHECK_EQUAL(1, status.serving(start + 40ms).at(0).adapters.size());
   CHECK_TRUE(status.nextChange(start) == start + 40ms);
-  // A heartbeat that does not know of it yet takes nothing away.
+  // A heartbeat that doesn't list the adapter yet doesn't remove it.
   beat(2, {{"a", 1, {}}});
   CHECK_EQUAL(1, status.serving(start + 50ms).at(0).adapters.size());
 }
