--- a/src/registry/adapter_placement.cpp
+++ b/src/registry/adapter_placement.cpp
@@ -27,14 +27,14 @@
     if (key.service != service_ || key.adapter.empty()) {
       continue;
     }
-    const bool held = std::any_of(round.workers().begin(), round.workers().end(),
-                                  [&key = key](const PlacementWorker& worker) {
-                                    return worker.serving &&
-                                           worker.holdings.holds(key.model, key.adapter) &&
-                                           worker.retiring != key.model;
-                                  });
+    const bool isHeld = std::any_of(round.workers().begin(), round.workers().end(),
+                                    [&key = key](const PlacementWorker& worker) {
+                                      return worker.serving &&
+                                             worker.holdings.holds(key.model, key.adapter) &&
+                                             worker.unloadingModel != key.model;
+                                    });
     const ModelSpec* model = round.spec(key.model);
-    if (!held && model != nullptr) {
+    if (!isHeld && model != nullptr) {
       placeAdapter(round, *model, key.adapter);
     }
   }
@@ -45,14 +45,14 @@
   const PlacementWorker* best = nullptr;
   double bestCost = std::numeric_limits<double>::infinity();
   for (const PlacementWorker& worker : round.workers()) {
-    if (!round.mayOrder(worker) || !worker.mayTakeAdapters ||
-        worker.holdings.find(model.name) == nullptr || worker.retiring == model.name) {
+    if (!round.canOrder(worker) || !worker.canLoadAdapters ||
+        worker.holdings.find(model.name) == nullptr || worker.unloadingModel == model.name) {
       continue;
     }
-    const bool full = adapterCount(worker) >= round.engine().adapterSlots ||
-                      round.freeMegabytes(worker) < model.adapterMegabytes;
+    const bool isFull = adapterCount(worker) >= round.engine().adapterSlots ||
+                        round.freeMegabytes(worker) < model.adapterMegabytes;
     const double cost = worker.running + static_cast<double>(adapterCount(worker)) +
-                        (full ? static_cast<double>(round.engine().slots) : 0);
+                        (isFull ? static_cast<double>(round.engine().slots) : 0);
     if (cost < bestCost) {
       bestCost = cost;
       best = &worker;
@@ -61,9 +61,9 @@
   if (best == nullptr) {
     return;
   }
-  const bool full = adapterCount(*best) >= round.engine().adapterSlots ||
-                    round.freeMegabytes(*best) < model.adapterMegabytes;
-  if (!full) {
+  const bool isFull = adapterCount(*best) >= round.engine().adapterSlots ||
+                      round.freeMegabytes(*best) < model.adapterMegabytes;
+  if (!isFull) {
     round.order({best->id, OrderOperation::load, model.name, adapter, false});
     return;
   }
@@ -72,11 +72,11 @@
   base::TimePoint oldest = base::kNever;
   for (const HeldModel& held : best->holdings.models) {
     for (const std::string& name : held.adapters) {
-      const DemandFigures wanted = round.figures(held.name, name);
-      const bool protectedNow =
-          wanted.waiting > 0 || best->newAdapters.count({held.name, name}) != 0;
-      if (!protectedNow && wanted.lastArrival < oldest) {
-        oldest = wanted.lastArrival;
+      const DemandFigures adapterDemand = round.figures(held.name, name);
+      const bool isProtected =
+          adapterDemand.waiting > 0 || best->recentAdapters.count({held.name, name}) != 0;
+      if (!isProtected && adapterDemand.lastArrival < oldest) {
+        oldest = adapterDemand.lastArrival;
         unload = PlacementStep{best->id, OrderOperation::unload, held.name, name, false};
       }
     }
--- a/src/registry/leader_plans.cpp
+++ b/src/registry/leader_plans.cpp
@@ -28,40 +28,40 @@
   return static_cast<std::uint64_t>(std::clamp(value, 0.0, kMost));
 }
 
-std::string_view reasonName(WantReason reason) {
+std::string_view reasonName(PlacementReason reason) {
   switch (reason) {
-    case WantReason::spare:
+    case PlacementReason::spare:
       return "spare";
-    case WantReason::queueing:
+    case PlacementReason::queueing:
       return "queueing";
-    case WantReason::cold:
+    case PlacementReason::cold:
       return "cold";
   }
   return "unknown";
 }
 
-std::string_view outcomeName(WantOutcome outcome) {
+std::string_view outcomeName(PlacementOutcome outcome) {
   switch (outcome) {
-    case WantOutcome::loaded:
+    case PlacementOutcome::loadOrdered:
       return "loaded";
-    case WantOutcome::roomMade:
+    case PlacementOutcome::unloadOrdered:
       return "room-made";
-    case WantOutcome::waitsForWorker:
+    case PlacementOutcome::waitsForWorker:
       return "waits-for-worker";
-    case WantOutcome::waitsForUse:
+    case PlacementOutcome::waitsForRequests:
       return "waits-for-use";
-    case WantOutcome::waitsForStore:
+    case PlacementOutcome::waitsForStore:
       return "waits-for-store";
-    case WantOutcome::notWorth:
+    case PlacementOutcome::tooCostly:
       return "not-worth";
-    case WantOutcome::noWorker:
+    case PlacementOutcome::noWorker:
       return "no-worker";
   }
   return "unknown";
 }
 
 void noteOrder(PlacementWorker& worker, OrderOperation operation, const std::string& model) {
-  (operation == OrderOperation::load ? worker.arriving : worker.retiring) = model;
+  (operation == OrderOperation::load ? worker.loadingModel : worker.unloadingModel) = model;
 }
 
 base::Duration longestLoad(const catalog::EngineSpec& engine) {
@@ -149,7 +149,7 @@
       requestReport(*record, status);
     }
     workers.push_back(placementWorker(*record, status, now));
-    workers.back().mayLoad = target;
+    workers.back().canLoadModels = target;
   }
   decide(service, workers, pool.outside, now);
 }
@@ -193,7 +193,7 @@
                 {"worker", decision.worker.value},
                 {"victim", decision.victim},
                 {"cost-millis", rounded(kMillis * decision.cost)},
-                {"worth-millis", rounded(kMillis * decision.worth)},
+                {"worth-millis", rounded(kMillis * decision.benefit)},
                 {"tier", std::string_view(decision.fromStore ? "store" : "near")},
                 {"store-loads", std::uint64_t{store.underWay()}},
                 {"store-limit", std::uint64_t{store.limit()}},
@@ -225,14 +225,14 @@
   // elsewhere, and no new models are loaded on it.
   worker.serving = !outOfService(record) && !status.silent && !outliers_.failing(record.id) &&
                    !limits_.wasShort(record.id, now);
-  worker.mayLoad = !limits_.limitOf(record.id);
-  worker.mayBeOrdered = status.reportFresh && !status.sentOrder && !status.reportUnderWay &&
-                        now >= status.orderAgainAt && mayOrder(record.id, now);
-  worker.mayTakeAdapters = !(status.adaptersBlocked && status.modelOrder);
+  worker.canLoadModels = !limits_.limitOf(record.id);
+  worker.canTakeOrders = status.reportFresh && !status.sentOrder && !status.reportUnderWay &&
+                         now >= status.orderAgainAt && mayOrder(record.id, now);
+  worker.canLoadAdapters = !(status.adaptersBlocked && status.modelOrder);
   for (const HeldModel& held : worker.holdings.models) {
     for (const std::string& adapter : held.adapters) {
       if (status.adapterIsNew(held.name, adapter, now)) {
-        worker.newAdapters.insert({held.name, adapter});
+        worker.recentAdapters.insert({held.name, adapter});
       }
     }
   }
@@ -243,7 +243,7 @@
   if (status.sentOrder && status.sentOrder->adapter.empty()) {
     noteOrder(worker, status.sentOrder->operation, status.sentOrder->model);
   }
-  worker.busyFor = busyTime(status, now);
+  worker.remainingOrderTime = busyTime(status, now);
   return worker;
 }
 
--- a/src/registry/placement.h
+++ b/src/registry/placement.h
@@ -21,12 +21,12 @@
 enum class OrderOperation : std::uint8_t { load = 0, unload = 1 };
 
 /// The models to unload from a worker to free capacity for a load, and the cost of doing so.
-struct Room {
+struct UnloadPlan {
   std::vector<std::string> unloads;  ///< Models to unload, the cheapest first.
   double cost = 0;  ///< In seconds of request waiting time; infinite if it can't be freed.
   /// True if one of the models has running requests that will soon end by themselves. An unload
   /// would wait for them, and its worker could take no other order meanwhile.
-  bool waits = false;
+  bool hasEndingRequests = false;
 };
 
 /// One load or unload on one worker.
@@ -43,43 +43,43 @@
 /// The state of a worker as the policy's input.
 struct PlacementWorker {
   WorkerId id;
-  Holdings holdings;          ///< Includes adapters whose load is in progress.
-  bool mayLoad = true;        ///< False if the policy must not load models on this worker.
-  bool mayBeOrdered = false;  ///< True if the worker is ready and no order to it is in progress.
-  bool mayTakeAdapters = true;
-  bool serving = true;                  ///< False if it is leaving, unresponsive or failing.
-  std::optional<std::string> arriving;  ///< The model that the worker is loading, if any.
-  std::optional<std::string> retiring;  ///< The model that the worker is unloading, if any.
+  Holdings holdings;           ///< Includes adapters whose load is in progress.
+  bool canLoadModels = true;   ///< False if the policy must not load models on this worker.
+  bool canTakeOrders = false;  ///< True if the worker is ready and no order to it is in progress.
+  bool canLoadAdapters = true;
+  bool serving = true;                        ///< False if it is leaving, unresponsive or failing.
+  std::optional<std::string> loadingModel;    ///< The model that the worker is loading, if any.
+  std::optional<std::string> unloadingModel;  ///< The model that the worker is unloading, if any.
   /// Expected time until the order in progress ends; zero if there is none.
-  base::Duration busyFor{0};
+  base::Duration remainingOrderTime{0};
   std::uint32_t running = 0;  ///< Number of requests that run or are queued on the worker.
   /// Adapters that were loaded so recently that they must not be evicted yet, as (model, adapter).
-  std::set<std::pair<std::string, std::string>> newAdapters;
+  std::set<std::pair<std::string, std::string>> recentAdapters;
 };
 
 /// The reason why a model should get another replica, the most urgent last.
-enum class WantReason : std::uint8_t {
+enum class PlacementReason : std::uint8_t {
   spare,     ///< Its replicas are highly loaded, or it has a single one that might be lost.
   queueing,  ///< More requests are queued at its workers than replicas being loaded will serve.
   cold,      ///< Requests wait, and no worker serves the model or is loading it.
 };
 
 /// The decision on a model that should get another replica.
-enum class WantOutcome : std::uint8_t {
-  loaded,          ///< A load of the model was ordered.
-  roomMade,        ///< An unload of another model was ordered to free capacity for it.
-  waitsForWorker,  ///< The best worker can take no order now.
-  waitsForUse,     ///< A model to be unloaded has running requests that will soon end.
-  waitsForStore,   ///< The weight store's limits allow no further load now.
-  notWorth,        ///< The cost to other models exceeds the benefit.
-  noWorker,        ///< No worker can hold the model.
+enum class PlacementOutcome : std::uint8_t {
+  loadOrdered,       ///< A load of the model was ordered.
+  unloadOrdered,     ///< An unload of another model was ordered to free capacity for it.
+  waitsForWorker,    ///< The best worker can take no order now.
+  waitsForRequests,  ///< A model to be unloaded has running requests that will soon end.
+  waitsForStore,     ///< The weight store's limits allow no further load now.
+  tooCostly,         ///< The cost to other models exceeds the benefit.
+  noWorker,          ///< No worker can hold the model.
 };
 
 /// A placement decision and the figures behind it, for the log.
 struct PlacementDecision {
   std::string model;
-  WantReason reason = WantReason::spare;
-  WantOutcome outcome = WantOutcome::noWorker;
+  PlacementReason reason = PlacementReason::spare;
+  PlacementOutcome outcome = PlacementOutcome::noWorker;
   std::uint32_t waiting = 0;     ///< Requests that wait at gateways.
   std::uint32_t unanswered = 0;  ///< Requests since the last one that was answered.
   double queued = 0;             ///< Requests that wait for a slot of the model's workers.
@@ -90,7 +90,7 @@
   /// @name In seconds of request waiting time
   /// @{
   double cost = 0;
-  double worth = 0;
+  double benefit = 0;
   /// @}
   bool fromStore = false;
 };
@@ -115,7 +115,7 @@
 /// finds the worker that would serve the model soonest at the least cost to other models, and
 /// orders the first step if that worker can take it now. A model that has to wait for a busy worker
 /// or for the weight store holds up no other model. The worker where capacity is already being
-/// freed for a model (`Wake`) is preferred, so that this capacity is used.
+/// freed for a model (`Reservation`) is preferred, so that this capacity is used.
 ///
 /// Requests that are queued at a model's workers count like requests that wait for a cold model:
 /// both are late until another replica serves. A model that already has replicas doesn't wait for a
@@ -139,62 +139,65 @@
 
  private:
   /// The worker on which capacity is being freed for a model.
-  struct Wake {
+  struct Reservation {
     WorkerId worker;
     base::TimePoint since;
   };
   /// A model that should get another replica.
-  struct Want {
-    double worth = 0;  ///< Sort key among the urgent candidates, and among those that aren't.
+  struct Candidate {
+    double benefit = 0;  ///< Sort key among the urgent candidates, and among those that aren't.
     std::string model;
-    WantReason reason = WantReason::spare;
+    PlacementReason reason = PlacementReason::spare;
 
-    bool urgent() const { return reason != WantReason::spare; }
+    bool isUrgent() const { return reason != PlacementReason::spare; }
   };
   struct Choice {
     const PlacementWorker* worker = nullptr;
     double cost = std::numeric_limits<double>::infinity();
-    Room room;
+    UnloadPlan unloadPlan;
     bool fromStore = false;
   };
 
-  void dropEndedWakes(const PlacementRound& round);
-  std::vector<Want> wants(const PlacementRound& round) const;
-  std::optional<Want> wantOf(const PlacementRound& round, const std::string& model) const;
-  void lookOut(const PlacementRound& round, const Want& want, const Choice& choice,
-               WantOutcome outcome);
-  void lookOutForArrivals(const PlacementRound& round);
-  void noteLate(const PlacementRound& round, const std::string& model, base::Duration availableIn);
-  void forgetLate(const PlacementRound& round);
-  void wake(PlacementRound& round, const Want& want);
-  static WantOutcome outcomeOf(const PlacementRound& round, const Choice& choice, double worth);
-  void note(const PlacementRound& round, const Want& want, const Choice& choice, double worth,
-            WantOutcome outcome);
-  void forgetNotes(const std::vector<Want>& wanted);
-  Choice choose(PlacementRound& round, const Want& want) const;
+  void dropExpiredReservations(const PlacementRound& round);
+  std::vector<Candidate> findCandidates(const PlacementRound& round) const;
+  std::optional<Candidate> findCandidate(const PlacementRound& round,
+                                         const std::string& model) const;
+  void recordIfLate(const PlacementRound& round, const Candidate& candidate, const Choice& choice,
+                    PlacementOutcome outcome);
+  void recordLateLoads(const PlacementRound& round);
+  void recordLateModel(const PlacementRound& round, const std::string& model,
+                       base::Duration availableIn);
+  void dropOutdatedLateModels(const PlacementRound& round);
+  void placeReplica(PlacementRound& round, const Candidate& candidate);
+  static PlacementOutcome decideOutcome(const PlacementRound& round, const Choice& choice,
+                                        double benefit);
+  void recordDecision(const PlacementRound& round, const Candidate& candidate, const Choice& choice,
+                      double benefit, PlacementOutcome outcome);
+  void dropOutdatedDecisions(const std::vector<Candidate>& candidates);
+  Choice choose(PlacementRound& round, const Candidate& candidate) const;
   static bool isFree(const PlacementRound& round, const PlacementWorker& worker);
   double storeCost(const PlacementRound& round, const catalog::ModelSpec& model) const;
   double blockCost(const PlacementRound& round, base::Duration duration) const;
-  void carryOut(PlacementRound& round, const std::string& model, const Choice& choice);
+  void orderFirstStep(PlacementRound& round, const std::string& model, const Choice& choice);
   void placeAdapters(PlacementRound& round) const;
   static void placeAdapter(PlacementRound& round, const catalog::ModelSpec& model,
                            const std::string& adapter);
 
   const std::string service_;
-  std::map<std::string, Wake> wakes_;  ///< By model.
-  DecayingRate loadRate_;              ///< Rate of model loads on all workers.
+  std::map<std::string, Reservation> reservations_;  ///< By model.
+  DecayingRate loadRate_;                            ///< Rate of model loads on all workers.
   /// Seconds for which loads decided in this run will keep a worker busy, beyond its current order.
   std::map<WorkerId, double> queued_;
   std::vector<PlacementDecision> decisions_;
   std::vector<ModelOutlook> outlook_;
   /// Models that were announced as late, and since when. Their callers no longer wait for them, but
   /// they are still to be loaded.
-  std::map<std::string, base::TimePoint> late_;
+  std::map<std::string, base::TimePoint> lateModels_;
   /// Loads of cold models from the store that could not be started, in this run and the previous.
   std::size_t storeQueue_ = 0;
-  std::size_t storeQueueBefore_ = 0;
+  std::size_t previousStoreQueue_ = 0;
   /// The last recorded decision on each model that should get another replica, by model.
-  std::map<std::string, std::pair<WantReason, WantOutcome>> noted_;
+  std::map<std::string, std::pair<PlacementReason, PlacementOutcome>> lastDecisions_;
 };
 
 }  // namespace walnut::registry
--- a/src/registry/placement_round.cpp
+++ b/src/registry/placement_round.cpp
@@ -14,10 +14,10 @@
 /// @{
 /// Cost of unloading a surplus replica, and of unloading the second last one.
 constexpr double kSurplusCost = 0.1;
-constexpr double kSecondCost = 0.4;
+constexpr double kSecondLastCost = 0.4;
 /// The corresponding additional costs for each arrival per second.
 constexpr double kSurplusRateCost = 0.05;
-constexpr double kSecondRateCost = 0.2;
+constexpr double kSecondLastRateCost = 0.2;
 /// Cost if the load of the remaining replicas would exceed kScaleOutShare, for each multiple of it.
 constexpr double kOverloadCost = 5.0;
 /// Cost for each running request, since an unload waits for them, and its maximum.
@@ -26,28 +26,28 @@
 /// Cost for each adapter that is unloaded with the model.
 constexpr double kHeldAdapterCost = 0.05;
 /// Cost that keeps a replica for which requests wait from ever being unloaded.
-constexpr double kWantedCost = 1000.0;
+constexpr double kWaitedForCost = 1000.0;
 /// @}
 
 /// @name Cost of unloading the last replica
 /// @{
 /// Cost if the next request would be late, the additional cost for each arrival per second, and
 /// the additional cost if the model was requested within kRecentUse.
-constexpr double kLastCost = 0.5;
-constexpr double kLastRateCost = 5.0;
+constexpr double kLateReloadCost = 0.5;
+constexpr double kLateReloadRateCost = 5.0;
 constexpr double kRecentUseCost = 1.0;
 constexpr base::Duration kRecentUse = std::chrono::seconds(10);
 /// Cost for each request that was not answered since the load, and its maximum, while requests keep
 /// coming: if the model were unloaded now, its load would be wasted. The values are those of
 /// running requests.
-constexpr double kUnansweredCost = 1.0;
-constexpr double kMaxUnansweredCost = 4.0;
+constexpr double kUnservedRequestCost = 1.0;
+constexpr double kMaxUnservedRequestCost = 4.0;
 /// Cost if the next request would still be in time, and for each arrival per second.
-constexpr double kRecoverableCost = 0.1;
-constexpr double kRecoverableRateCost = 0.5;
+constexpr double kTimelyReloadCost = 0.1;
+constexpr double kTimelyReloadRateCost = 0.5;
 /// Time until an unloaded model serves again, without the load itself: waiting for a free worker,
 /// unloading another model, and reporting the demand and the result.
-constexpr double kReturnOverheadSeconds = 0.6;
+constexpr double kReloadOverheadSeconds = 0.6;
 /// Additional cost if no disk would hold the model any more.
 constexpr double kLastCopyCost = 2.0;
 /// @}
@@ -56,11 +56,11 @@
 constexpr double kBusyRate = 0.6;
 
 /// Weight of a priority level relative to the next higher one.
-constexpr double kPriorityShare = 0.7;
+constexpr double kPriorityFactor = 0.7;
 
 /// Cost of delaying adapter loads for each arrival per second, and its maximum.
-constexpr double kAdapterCost = 2.0;
-constexpr double kMaxAdapterCost = 4.0;
+constexpr double kAdapterDelayCost = 2.0;
+constexpr double kMaxAdapterDelayCost = 4.0;
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -80,18 +80,18 @@
       store_(store),
       service_(service),
       now_(now) {
-  summarise();
+  countReplicas();
 }
 
 /// Computes the specifications and counts by model, which the rest of the run reads many times.
-void PlacementRound::summarise() {
+void PlacementRound::countReplicas() {
   for (const ModelSpec& model : engine_.models) {
     specs_.emplace(model.name, &model);
   }
   for (const PlacementWorker& worker : workers_) {
     std::set<std::string> copies(worker.holdings.inMemory.begin(), worker.holdings.inMemory.end());
     copies.insert(worker.holdings.onDisk.begin(), worker.holdings.onDisk.end());
-    const bool takesAdapters = worker.serving && !worker.arriving && !worker.retiring;
+    const bool takesAdapters = worker.serving && !worker.loadingModel && !worker.unloadingModel;
     for (const HeldModel& held : worker.holdings.models) {
       if (worker.holdings.find(held.name) != &held) {
         continue;  // The worker lists the model twice.
@@ -100,16 +100,17 @@
       const std::uint32_t running = demand_.running(worker.id, held.name);
       replicas.running += running;
       replicas.queued += running * queuedShare(worker);
-      if (worker.serving && worker.retiring != held.name) {
+      if (worker.serving && worker.unloadingModel != held.name) {
         ++replicas.present;
         ++replicas.serving;
       }
       replicas.takingAdapters += takesAdapters ? 1 : 0;
       copies.insert(held.name);
     }
-    if (worker.serving && worker.arriving && worker.holdings.find(*worker.arriving) == nullptr) {
-      ++replicas_[*worker.arriving].present;
-      copies.insert(*worker.arriving);
+    if (worker.serving && worker.loadingModel &&
+        worker.holdings.find(*worker.loadingModel) == nullptr) {
+      ++replicas_[*worker.loadingModel].present;
+      copies.insert(*worker.loadingModel);
     }
     for (const std::string& model : copies) {
       replicas_[model].copies += worker.serving ? 1 : 0;
@@ -117,7 +118,7 @@
   }
 }
 
-void PlacementRound::addOutside(const std::map<std::string, std::uint32_t>& workers) {
+void PlacementRound::addUnplannedWorkers(const std::map<std::string, std::uint32_t>& workers) {
   for (const auto& [model, count] : workers) {
     if (count > 0) {
       Replicas& replicas = replicas_[model];
@@ -150,8 +151,8 @@
   return demand_.figures({service_, model, adapter}, now_);
 }
 
-bool PlacementRound::mayOrder(const PlacementWorker& worker) const {
-  return worker.mayBeOrdered && worker.serving && ordered_.count(worker.id) == 0;
+bool PlacementRound::canOrder(const PlacementWorker& worker) const {
+  return worker.canTakeOrders && worker.serving && ordered_.count(worker.id) == 0;
 }
 
 void PlacementRound::order(PlacementStep step) {
@@ -186,8 +187,8 @@
               model->adapterMegabytes * static_cast<double>(held.adapters.size());
     }
   }
-  if (worker.arriving && worker.holdings.find(*worker.arriving) == nullptr) {
-    const ModelSpec* model = spec(*worker.arriving);
+  if (worker.loadingModel && worker.holdings.find(*worker.loadingModel) == nullptr) {
+    const ModelSpec* model = spec(*worker.loadingModel);
     used += model == nullptr ? 0 : model->weightsMegabytes;
   }
   return engine_.weightsMegabytes - used;
@@ -201,11 +202,12 @@
 double PlacementRound::adapterBlockCost(const PlacementWorker& worker) const {
   double cost = 0;
   for (const HeldModel& held : worker.holdings.models) {
-    const bool own = worker.serving && !worker.arriving && !worker.retiring;
-    const bool elsewhere = replicas(held.name).takingAdapters > (own ? 1U : 0U);
-    if (!elsewhere) {
+    const bool isTakingAdapters = worker.serving && !worker.loadingModel && !worker.unloadingModel;
+    const bool isServedElsewhere =
+        replicas(held.name).takingAdapters > (isTakingAdapters ? 1U : 0U);
+    if (!isServedElsewhere) {
       const double rate = demand_.adapterRate(service_, held.name, now_);
-      cost += std::min(kMaxAdapterCost, kAdapterCost * rate);
+      cost += std::min(kMaxAdapterDelayCost, kAdapterDelayCost * rate);
     }
   }
   return cost;
@@ -225,7 +227,7 @@
   if (loadWithout > kScaleOutShare) {
     cost += kOverloadCost * loadWithout / kScaleOutShare;
   }
-  return cost + (count == 2 ? kSecondCost + kSecondRateCost * rate
+  return cost + (count == 2 ? kSecondLastCost + kSecondLastRateCost * rate
                             : kSurplusCost + kSurplusRateCost * rate);
 }
 
@@ -233,25 +235,27 @@
 /// expected sooner, or that would have to be loaded from the store, is expensive.
 double PlacementRound::lastReplicaCost(const PlacementWorker& worker,
                                        const std::string& model) const {
-  const DemandFigures wanted = figures(model);
-  const ModelSpec* declared = spec(model);
-  const bool recent =
-      wanted.lastArrival != base::TimePoint() && now_ - wanted.lastArrival < kRecentUse;
-  if (wanted.waiting > 0) {
-    return kWantedCost;
+  const DemandFigures modelDemand = figures(model);
+  const ModelSpec* modelSpec = spec(model);
+  const bool isRecent =
+      modelDemand.lastArrival != base::TimePoint() && now_ - modelDemand.lastArrival < kRecentUse;
+  if (modelDemand.waiting > 0) {
+    return kWaitedForCost;
   }
   const double unanswered =
-      recent ? std::min(kUnansweredCost * wanted.unanswered, kMaxUnansweredCost) : 0;
-  const bool copied = contains(worker.holdings.onDisk, model);
-  const bool otherCopy = replicas(model).copies > 1;
-  const double urgency = std::pow(kPriorityShare, wanted.priority);
-  double cost = unanswered + (copied || otherCopy ? 0 : kLastCopyCost);
-  const double comeBack =
-      (declared == nullptr ? 0 : seconds(declared->diskLoadTime)) + kReturnOverheadSeconds;
-  if (copied && comeBack <= seconds(wanted.targetLatency)) {
-    return cost + kRecoverableCost + kRecoverableRateCost * urgency * wanted.rate;
+      isRecent ? std::min(kUnservedRequestCost * modelDemand.unanswered, kMaxUnservedRequestCost)
+               : 0;
+  const bool isOnDisk = contains(worker.holdings.onDisk, model);
+  const bool hasOtherCopy = replicas(model).copies > 1;
+  const double urgency = std::pow(kPriorityFactor, modelDemand.priority);
+  double cost = unanswered + (isOnDisk || hasOtherCopy ? 0 : kLastCopyCost);
+  const double reloadTime =
+      (modelSpec == nullptr ? 0 : seconds(modelSpec->diskLoadTime)) + kReloadOverheadSeconds;
+  if (isOnDisk && reloadTime <= seconds(modelDemand.targetLatency)) {
+    return cost + kTimelyReloadCost + kTimelyReloadRateCost * urgency * modelDemand.rate;
   }
-  return cost + kLastCost + kLastRateCost * urgency * wanted.rate + (recent ? kRecentUseCost : 0);
+  return cost + kLateReloadCost + kLateReloadRateCost * urgency * modelDemand.rate +
+         (isRecent ? kRecentUseCost : 0);
 }
 
 /// @return true if the model has requests on the worker, but so low an arrival rate that it will
@@ -261,7 +265,7 @@
          figures(model).rate < kBusyRate;
 }
 
-Room PlacementRound::roomFor(const PlacementWorker& worker, double megabytes) const {
+UnloadPlan PlacementRound::planUnloads(const PlacementWorker& worker, double megabytes) const {
   double free = freeMegabytes(worker);
   if (free >= megabytes) {
     return {};
@@ -272,7 +276,7 @@
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& left, const auto& right) { return left.first < right.first; });
-  Room room;
+  UnloadPlan unloadPlan;
   for (const auto& [price, held] : candidates) {
     if (free >= megabytes) {
       break;
@@ -282,14 +286,14 @@
                 ? 0
                 : model->weightsMegabytes +
                       model->adapterMegabytes * static_cast<double>(held->adapters.size());
-    room.cost += price;
-    room.unloads.push_back(held->name);
-    room.waits = room.waits || becomesIdle(worker, held->name);
+    unloadPlan.cost += price;
+    unloadPlan.unloads.push_back(held->name);
+    unloadPlan.hasEndingRequests = unloadPlan.hasEndingRequests || becomesIdle(worker, held->name);
   }
   if (free < megabytes) {
     return {{}, std::numeric_limits<double>::infinity(), false};
   }
-  return room;
+  return unloadPlan;
 }
 
 }  // namespace walnut::registry
--- a/src/registry/placement_round.h
+++ b/src/registry/placement_round.h
@@ -36,7 +36,7 @@
                  base::TimePoint now);
 
   /// Adds the counts of workers that the plan leaves out, by model. None of them has requests.
-  void addOutside(const std::map<std::string, std::uint32_t>& workers);
+  void addUnplannedWorkers(const std::map<std::string, std::uint32_t>& workers);
 
   const catalog::EngineSpec& engine() const { return engine_; }
   const std::vector<PlacementWorker>& workers() const { return workers_; }
@@ -51,7 +51,7 @@
   DemandFigures figures(const std::string& model, const std::string& adapter = {}) const;
 
   /// @return true if the worker takes orders and this run has ordered nothing of it yet.
-  bool mayOrder(const PlacementWorker& worker) const;
+  bool canOrder(const PlacementWorker& worker) const;
   void order(PlacementStep step);
   std::vector<PlacementStep> takeSteps() { return std::move(steps_); }
 
@@ -61,13 +61,13 @@
   /// @return the load if that many workers served the model, as a share of their slots.
   double loadWith(const std::string& model, std::uint32_t workers) const;
   /// @return the cheapest set of unloads that leaves that much memory free on a worker.
-  Room roomFor(const PlacementWorker& worker, double megabytes) const;
+  UnloadPlan planUnloads(const PlacementWorker& worker, double megabytes) const;
   /// @return the cost of keeping a worker busy with a model load: it can load no adapters
   /// meanwhile, so adapters of models that no other worker serves have to wait.
   double adapterBlockCost(const PlacementWorker& worker) const;
 
  private:
-  void summarise();
+  void countReplicas();
   double unloadCost(const PlacementWorker& worker, const HeldModel& held) const;
   bool becomesIdle(const PlacementWorker& worker, const std::string& model) const;
   /// @return the share of a worker's requests that wait for a slot, from 0 to 1.
--- a/test/registry/placement_kit.h
+++ b/test/registry/placement_kit.h
@@ -22,7 +22,7 @@
 inline PlacementWorker workerWith(const char* id, std::initializer_list<const char*> models) {
   PlacementWorker worker;
   worker.id = {id};
-  worker.mayBeOrdered = true;
+  worker.canTakeOrders = true;
   for (const char* model : models) {
     worker.holdings.models.push_back({model, 1, {}});
   }
--- a/test/registry/placement_test.cpp
+++ b/test/registry/placement_test.cpp
@@ -111,7 +111,7 @@
   PlacementWorker loading = workerWith("w1", {});
   const auto first = plan(engineOf({"a"}), {loading, workerWith("w2", {})});
   CHECK_EQUAL(1, first.size());
-  loading.arriving = "a";
+  loading.loadingModel = "a";
   CHECK_TRUE(plan(engineOf({"a"}), {loading, workerWith("w2", {})}).empty());
 }
 
@@ -131,7 +131,7 @@
   want("rare1", "", 0, 2, 3);
   want("rare2", "", 0, 2, 4);
   PlacementWorker coming = workerWith("w2", {"rare2"});
-  coming.arriving = "hot";
+  coming.loadingModel = "hot";
   const auto steps = plan(engineOf({"new", "hot", "rare1", "rare2"}),
                           {workerWith("w1", {"hot", "rare1"}), coming});
   for (const PlacementStep& step : steps) {
@@ -187,7 +187,7 @@
   want("a", "a1", 1, 1, 2);
   PlacementWorker full = workerWith("w", {"a"});
   full.holdings.models[0].adapters = {"a1", "a2"};
-  full.newAdapters = {{"a", "a2"}};
+  full.recentAdapters = {{"a", "a2"}};
   CHECK_TRUE(plan(engineOf({"a"}), {full}).empty());
 }
 
@@ -222,11 +222,11 @@
   want("a", "", 1, 1);
   PlacementWorker busy = workerWith("busy", {});
   busy.holdings.onDisk = {"a"};
-  busy.mayBeOrdered = false;
-  busy.arriving = "b";
-  busy.busyFor = 500ms;
+  busy.canTakeOrders = false;
+  busy.loadingModel = "b";
+  busy.remainingOrderTime = 500ms;
   CHECK_TRUE(plan(engineOf({"a", "b"}), {busy, workerWith("idle", {})}).empty());
-  busy.busyFor = 10s;
+  busy.remainingOrderTime = 10s;
   const auto steps = plan(engineOf({"a", "b"}), {busy, workerWith("idle", {})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("idle", steps[0].worker.value.c_str());
@@ -265,9 +265,9 @@
   CHECK_EQUAL(1, first.size());
   CHECK_TRUE(first[0].operation == OrderOperation::unload);
   PlacementWorker& chosen = first[0].worker == full.id ? full : other;
-  chosen.retiring = first[0].model;
-  chosen.mayBeOrdered = false;
-  chosen.busyFor = 100ms;
+  chosen.unloadingModel = first[0].model;
+  chosen.canTakeOrders = false;
+  chosen.remainingOrderTime = 100ms;
   CHECK_TRUE(plan(engine, {full, other}).empty());
 }
 
@@ -309,9 +309,9 @@
   full.running = 7;
   load({{{"full"}, "hot", 7}});
   PlacementWorker coming = workerWith("coming", {});
-  coming.arriving = "hot";
-  coming.mayBeOrdered = false;
-  coming.busyFor = 2s;
+  coming.loadingModel = "hot";
+  coming.canTakeOrders = false;
+  coming.remainingOrderTime = 2s;
   const auto steps = plan(engine, {full, coming, workerWith("w1", {}), workerWith("w2", {})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("rare", steps[0].model.c_str());
@@ -326,9 +326,9 @@
   load({{{"full"}, "hot", 16}});
   PlacementWorker busy = workerWith("busy", {});
   busy.holdings.onDisk = {"hot"};
-  busy.mayBeOrdered = false;
-  busy.arriving = "x";
-  busy.busyFor = 500ms;
+  busy.canTakeOrders = false;
+  busy.loadingModel = "x";
+  busy.remainingOrderTime = 500ms;
   const auto steps = plan(engine, {full, busy, workerWith("idle", {})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("idle", steps[0].worker.value.c_str());
--- a/test/registry/planning_pool_test.cpp
+++ b/test/registry/planning_pool_test.cpp
@@ -88,7 +88,7 @@
   ask("common", "", 1);
   PlacementWorker target;
   target.id = {"target"};
-  target.mayBeOrdered = true;
+  target.canTakeOrders = true;
   PlacementPolicy policy("svc");
   StoreScheduler store;
   store.setLimit(0, {}, now);
@@ -107,8 +107,8 @@
   ask("cold", "", 1);
   PlacementWorker other;
   other.id = {"other"};
-  other.mayBeOrdered = true;
-  other.mayLoad = false;
+  other.canTakeOrders = true;
+  other.canLoadModels = false;
   PlacementPolicy policy("svc");
   StoreScheduler store;
   store.setLimit(0, {}, now);
--- a/test/registry/slow_store_test.cpp
+++ b/test/registry/slow_store_test.cpp
@@ -155,9 +155,9 @@
   const catalog::EngineSpec engine = engineOf({"copied", "cold1", "cold2", "cold3", "cold4", "x"});
   PlacementWorker busy = workerWithCopies("busy", {});
   busy.holdings.onDisk = {"copied"};
-  busy.mayBeOrdered = false;
-  busy.arriving = "x";
-  busy.busyFor = 2s;
+  busy.canTakeOrders = false;
+  busy.loadingModel = "x";
+  busy.remainingOrderTime = 2s;
   for (const char* model : {"cold1", "cold2", "cold3", "cold4"}) {
     report(model, 1, 1);
   }
@@ -177,9 +177,9 @@
   const catalog::EngineSpec engine = engineOf({"copied", "x"});
   PlacementWorker busy = workerWithCopies("busy", {});
   busy.holdings.onDisk = {"copied"};
-  busy.mayBeOrdered = false;
-  busy.arriving = "x";
-  busy.busyFor = 2s;
+  busy.canTakeOrders = false;
+  busy.loadingModel = "x";
+  busy.remainingOrderTime = 2s;
   report("copied", 1, 1);
   const auto steps = plan(engine, {busy, workerWithCopies("idle", {})});
   CHECK_EQUAL(1, steps.size());
