--- a/include/walnut/registry/limit_messages.h
+++ b/include/walnut/registry/limit_messages.h
@@ -17,7 +17,7 @@
 
 /// Requests per second that are sent to a worker whose limit is lower. Without any request the end
 /// of the limit could not be detected.
-inline constexpr double kLeastLimit = 0.25;
+inline constexpr double kMinRequestsPerSecond = 0.25;
 
 /// The limit stated by one answer of a worker.
 struct LimitSighting {
--- a/src/registry/demand_book.cpp
+++ b/src/registry/demand_book.cpp
@@ -10,12 +10,12 @@
 constexpr base::Duration kUrgencyMemory = std::chrono::seconds(20);
 /// Unserved requests no longer count once no other has come for this long: callers come back within
 /// seconds, or not at all.
-constexpr base::Duration kUnansweredMemory = std::chrono::seconds(20);
+constexpr base::Duration kUnservedMemory = std::chrono::seconds(20);
 /// Time after which an unserved model is reported: most loads are over by then.
-constexpr base::Duration kToldWithoutAnswer = std::chrono::seconds(3);
+constexpr base::Duration kUnservedReportDelay = std::chrono::seconds(3);
 
 template <class Key>
-void takeAway(std::map<Key, std::uint32_t>& totals, const Key& key, std::uint32_t count) {
+void subtractCount(std::map<Key, std::uint32_t>& totals, const Key& key, std::uint32_t count) {
   const auto found = totals.find(key);
   if (found == totals.end()) {
     return;
@@ -78,19 +78,19 @@
 
 void DemandBook::subtract(const Gateway& gateway) {
   for (const auto& [key, count] : gateway.waiting) {
-    takeAway(waiting_, key, count);
-    takeAway(modelWaiting_, key.withoutAdapter(), count);
+    subtractCount(waiting_, key, count);
+    subtractCount(modelWaiting_, key.withoutAdapter(), count);
   }
   for (const auto& [worker, models] : gateway.running) {
     for (const auto& [model, count] : models) {
-      takeAway(running_[worker], model, count);
+      subtractCount(running_[worker], model, count);
     }
     if (running_[worker].empty()) {
       running_.erase(worker);
     }
   }
   for (const WorkerId& worker : gateway.unreachable) {
-    takeAway(unreachable_, worker, 1);
+    subtractCount(unreachable_, worker, 1);
   }
 }
 
@@ -99,51 +99,51 @@
     return;
   }
   History& history = history_[key];
-  noteAnswers(key, history, demand, now);
+  updateUnserved(key, history, demand, now);
   if (demand.arrivals == 0) {
     return;
   }
   history.arrivals.count(now, demand.arrivals);
   history.lastArrival = now;
-  noteUrgency(history, demand, now);
+  updateUrgency(history, demand, now);
 }
 
-void DemandBook::noteAnswers(const ModelKey& key, History& history, const ModelDemand& demand,
-                             base::TimePoint now) {
-  const bool first = history.unansweredSince == base::TimePoint();
+void DemandBook::updateUnserved(const ModelKey& key, History& history, const ModelDemand& demand,
+                                base::TimePoint now) {
+  const bool first = history.unservedSince == base::TimePoint();
   if (demand.answered > 0) {
-    if (history.told) {
+    if (history.isReported) {
       answerChanges_.push_back(
-          {key, true, now - history.unansweredSince, history.requests, history.failed});
+          {key, true, now - history.unservedSince, history.requests, history.failed});
     }
-    history.unansweredSince = base::TimePoint();
+    history.unservedSince = base::TimePoint();
     history.requests = 0;
     history.failed = 0;
-    history.unanswered = 0;
-    history.told = false;
+    history.unservedRequests = 0;
+    history.isReported = false;
     return;
   }
-  history.unansweredSince = first ? now : history.unansweredSince;
+  history.unservedSince = first ? now : history.unservedSince;
   history.requests += demand.arrivals;
-  const bool forgotten = demand.arrivals > 0 && now >= history.lastArrival + kUnansweredMemory;
-  history.unanswered = (forgotten ? 0 : history.unanswered) + demand.arrivals;
+  const bool isForgotten = demand.arrivals > 0 && now >= history.lastArrival + kUnservedMemory;
+  history.unservedRequests = (isForgotten ? 0 : history.unservedRequests) + demand.arrivals;
   history.failed += demand.failed;
-  if (!history.told && now >= history.unansweredSince + kToldWithoutAnswer) {
-    history.told = true;
+  if (!history.isReported && now >= history.unservedSince + kUnservedReportDelay) {
+    history.isReported = true;
     answerChanges_.push_back(
-        {key, false, now - history.unansweredSince, history.requests, history.failed});
+        {key, false, now - history.unservedSince, history.requests, history.failed});
   }
 }
 
 /// The most urgent of several routes to a model counts, until no request as urgent has come for
 /// kUrgencyMemory.
-void DemandBook::noteUrgency(History& history, const ModelDemand& demand, base::TimePoint now) {
-  const bool outdated = now >= history.urgencyAt + kUrgencyMemory;
-  if (outdated || demand.priority <= history.priority) {
+void DemandBook::updateUrgency(History& history, const ModelDemand& demand, base::TimePoint now) {
+  const bool isOutdated = now >= history.urgencyAt + kUrgencyMemory;
+  if (isOutdated || demand.priority <= history.priority) {
     history.priority = demand.priority;
     history.urgencyAt = now;
   }
-  if (outdated || demand.targetLatency <= history.targetLatency) {
+  if (isOutdated || demand.targetLatency <= history.targetLatency) {
     history.targetLatency = demand.targetLatency;
     history.urgencyAt = now;
   }
@@ -160,9 +160,9 @@
     figures.lastArrival = found->second.lastArrival;
     figures.priority = found->second.priority;
     figures.targetLatency = found->second.targetLatency;
-    const base::TimePoint since = found->second.unansweredSince;
-    figures.unanswered = found->second.unanswered;
-    figures.unansweredFor = since == base::TimePoint() ? base::Duration::zero() : now - since;
+    const base::TimePoint since = found->second.unservedSince;
+    figures.unservedRequests = found->second.unservedRequests;
+    figures.unservedTime = since == base::TimePoint() ? base::Duration::zero() : now - since;
   }
   return figures;
 }
@@ -209,8 +209,8 @@
   return rate;
 }
 
-std::vector<ModelKey> DemandBook::askedSince(const std::string& service,
-                                             base::TimePoint since) const {
+std::vector<ModelKey> DemandBook::requestedSince(const std::string& service,
+                                                 base::TimePoint since) const {
   std::vector<ModelKey> keys;
   for (auto entry = history_.lower_bound({service, {}, {}});
        entry != history_.end() && entry->first.service == service; ++entry) {
--- a/src/registry/demand_book.h
+++ b/src/registry/demand_book.h
@@ -34,9 +34,9 @@
   /// The shortest target latency of recent requests; 0 if there is none.
   base::Duration targetLatency{0};
   /// Time since the first request after the last answer; 0 if the last request was answered.
-  base::Duration unansweredFor{0};
+  base::Duration unservedTime{0};
   /// Requests since the last answer, or since the last long pause between requests.
-  std::uint32_t unanswered = 0;
+  std::uint32_t unservedRequests = 0;
 };
 
 /// A model or adapter whose requests have become unserved, or are served again.
@@ -73,7 +73,7 @@
   /// @return arrivals per second for all models of a service.
   double serviceRate(const std::string& service, base::TimePoint now) const;
   /// @return the models and adapters of the service that were requested since then.
-  std::vector<ModelKey> askedSince(const std::string& service, base::TimePoint since) const;
+  std::vector<ModelKey> requestedSince(const std::string& service, base::TimePoint since) const;
   /// @return the number of waiting requests by model and adapter, without zeros.
   const std::map<ModelKey, std::uint32_t>& waiting() const { return waiting_; }
   /// @return the changes since the last call. Models are reported as unserved only once they have
@@ -94,18 +94,18 @@
     base::TimePoint urgencyAt;  ///< When a request was last as urgent as priority and target say.
     /// @name Counts since the last answer
     /// @{
-    base::TimePoint unansweredSince;  ///< Time of the first request; zero if none came.
+    base::TimePoint unservedSince;  ///< Time of the first request; zero if none came.
     std::uint32_t requests = 0;
     std::uint32_t failed = 0;
-    std::uint32_t unanswered = 0;  ///< See DemandFigures.
-    bool told = false;             ///< True once the model was reported as unserved.
+    std::uint32_t unservedRequests = 0;  ///< See DemandFigures.
+    bool isReported = false;             ///< True once the model was reported as unserved.
     /// @}
   };
 
   void count(const ModelKey& key, const ModelDemand& demand, base::TimePoint now);
-  void noteAnswers(const ModelKey& key, History& history, const ModelDemand& demand,
-                   base::TimePoint now);
-  static void noteUrgency(History& history, const ModelDemand& demand, base::TimePoint now);
+  void updateUnserved(const ModelKey& key, History& history, const ModelDemand& demand,
+                      base::TimePoint now);
+  static void updateUrgency(History& history, const ModelDemand& demand, base::TimePoint now);
   void add(const Gateway& gateway);
   void subtract(const Gateway& gateway);
 
--- a/src/registry/late_model_announcer.cpp
+++ b/src/registry/late_model_announcer.cpp
@@ -5,10 +5,10 @@
 namespace walnut::registry {
 
 bool LateModelAnnouncer::differs(const Expected& expected) const {
-  return !std::equal(expected.begin(), expected.end(), told_.begin(), told_.end(),
+  return !std::equal(expected.begin(), expected.end(), announced_.begin(), announced_.end(),
                      [](const auto& left, const auto& right) {
                        return left.first == right.first &&
-                              std::chrono::abs(left.second - right.second) < kMoved;
+                              std::chrono::abs(left.second - right.second) < kMinChange;
                      });
 }
 
@@ -17,12 +17,12 @@
   for (const LateModel& model : late.models) {
     expected[{model.service, model.model}] = now + model.availableIn;
   }
-  const bool again = !expected.empty() && now >= toldAt_ + kLateModelsLast / 2;
-  if (now < toldAt_ + kSpacing || !(again || differs(expected))) {
+  const bool isRepeatDue = !expected.empty() && now >= announcedAt_ + kLateModelsLast / 2;
+  if (now < announcedAt_ + kMinInterval || !(isRepeatDue || differs(expected))) {
     return false;
   }
-  told_ = std::move(expected);
-  toldAt_ = now;
+  announced_ = std::move(expected);
+  announcedAt_ = now;
   return true;
 }
 
--- a/src/registry/late_model_announcer.h
+++ b/src/registry/late_model_announcer.h
@@ -17,9 +17,9 @@
 class LateModelAnnouncer {
  public:
   /// Least change of an expected time that is announced.
-  static constexpr base::Duration kMoved = std::chrono::seconds(2);
+  static constexpr base::Duration kMinChange = std::chrono::seconds(2);
   /// Least time between two announcements.
-  static constexpr base::Duration kSpacing = std::chrono::milliseconds(250);
+  static constexpr base::Duration kMinInterval = std::chrono::milliseconds(250);
 
   /// @return true if `late` has to be sent to all gateways now, in which case it counts as sent.
   bool due(const LateModels& late, base::TimePoint now);
@@ -29,8 +29,8 @@
 
   bool differs(const Expected& expected) const;
 
-  Expected told_;  ///< Last announced times, by service and model.
-  base::TimePoint toldAt_;
+  Expected announced_;  ///< Last announced times, by service and model.
+  base::TimePoint announcedAt_;
 };
 
 }  // namespace walnut::registry
--- a/src/registry/leader_limits.cpp
+++ b/src/registry/leader_limits.cpp
@@ -32,7 +32,7 @@
     log_.write(change.perSecond ? LogEvent::workerLimited : LogEvent::workerLimitEnded,
                {{"worker", change.worker.value},
                 {"limit", limitText(change.perSecond)},
-                {"former", limitText(change.former)},
+                {"former", limitText(change.previous)},
                 {"connection", gateway.value},
                 {"age-millis", millisOf(change.age)}});
   }
--- a/src/registry/leader_orders.cpp
+++ b/src/registry/leader_orders.cpp
@@ -17,13 +17,13 @@
 constexpr base::Duration kRefusedPause = std::chrono::milliseconds(200);
 /// Time beyond the expected end of a load until a report is requested from its worker, whose
 /// heartbeat may be late.
-constexpr base::Duration kOrderMargin = std::chrono::milliseconds(1500);
+constexpr base::Duration kLoadReportDelay = std::chrono::milliseconds(1500);
 /// Typical duration of an unload of an idle model, as seen in logs, and of a model with running
 /// requests, for which the unload waits.
 constexpr base::Duration kUnloadTime = std::chrono::milliseconds(60);
 constexpr base::Duration kUnloadOfBusyModel = std::chrono::seconds(1);
 /// Time until a report is requested about an unload, which waits for the running requests.
-constexpr base::Duration kUnloadPatience = std::chrono::seconds(4);
+constexpr base::Duration kUnloadReportDelay = std::chrono::seconds(4);
 
 std::string_view outcomeName(OrderOutcome outcome) {
   switch (outcome) {
@@ -164,7 +164,7 @@
       continue;
     }
     if (status.modelOrder && now >= status.modelOrder->dueAt && !status.silent) {
-      status.modelOrder->dueAt = now + kOrderMargin;
+      status.modelOrder->dueAt = now + kLoadReportDelay;
       requestReport(*record, status);
     }
     ++next;
@@ -179,7 +179,7 @@
   }
   const catalog::Service* service = document_ ? document_->findService(record.service) : nullptr;
   if (service == nullptr || !service->engine) {
-    return kUnloadPatience;
+    return kUnloadReportDelay;
   }
   for (const catalog::ModelSpec& model : service->engine->models) {
     if (model.name == step.model) {
@@ -188,14 +188,14 @@
                                               : model.diskLoadTime;
     }
   }
-  return kUnloadPatience;
+  return kUnloadReportDelay;
 }
 
 /// Removes the worker's load from the store's scheduler, since its end will not be reported.
 void LeaderDuties::forgetLoad(const WorkerRecord& record) {
   const auto store = stores_.find(record.service);
   if (store != stores_.end()) {
-    store->second.abandoned(record.id);
+    store->second.recordAbandoned(record.id);
   }
 }
 
@@ -206,8 +206,9 @@
     return;
   }
   const UnfinishedLoad& load = *status.unfinishedLoad;
-  storeOf(load.service).abandoned(id);
-  const base::Duration pause = backoffs_[load.service].workerEnded(load.model, load.orderedAt, now);
+  storeOf(load.service).recordAbandoned(id);
+  const base::Duration pause =
+      backoffs_[load.service].recordWorkerEnd(load.model, load.orderedAt, now);
   const auto age =
       std::chrono::duration_cast<std::chrono::milliseconds>(now - load.orderedAt).count();
   const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(pause).count();
@@ -238,31 +239,31 @@
   noteChanged(step.worker);
   changesAt_.emplace(now + options_.adapterSettleTime, step.worker);
   planSoon_ = true;
-  const bool ofModel = step.adapter.empty();
-  const bool taken =
+  const bool isModelOrder = step.adapter.empty();
+  const bool mayTakeEffect =
       finished.outcome == OrderOutcome::accepted || finished.outcome == OrderOutcome::unclear;
-  if (step.fromStore && !taken) {
+  if (step.fromStore && !mayTakeEffect) {
     forgetLoad(*record);
   }
-  if (!taken && ofModel) {
+  if (!mayTakeEffect && isModelOrder) {
     status.unfinishedLoad.reset();
   }
   switch (finished.outcome) {
     case OrderOutcome::accepted:
       ++status.orderCount;
-      if (ofModel) {
+      if (isModelOrder) {
         const bool load = step.operation == OrderOperation::load;
         const base::Duration expected = expectedTime(step, *record, status);
-        const base::Duration patience = load ? expected + kOrderMargin : kUnloadPatience;
-        status.modelOrdered(step, now, now + expected, now + patience);
+        const base::Duration reportDelay = load ? expected + kLoadReportDelay : kUnloadReportDelay;
+        status.modelOrdered(step, now, now + expected, now + reportDelay);
         busyWorkers_.insert(step.worker);
-        storeOf(record->service).accepted(step.worker, now);
+        storeOf(record->service).recordAccepted(step.worker, now);
       } else {
         status.adapterOrdered(step, now, options_.adapterSettleTime);
       }
       return;
     case OrderOutcome::alreadyDone:
-      if (ofModel) {
+      if (isModelOrder) {
         status.modelOrderDone(step);
         status.reportFresh = false;
       } else {
@@ -276,7 +277,7 @@
       fenced_ = true;
       return;
     case OrderOutcome::busy:
-      if (!ofModel && status.modelOrder && !status.adaptersBlocked) {
+      if (!isModelOrder && status.modelOrder && !status.adaptersBlocked) {
         status.adaptersBlocked = true;
         return;
       }
@@ -285,7 +286,7 @@
       return;
     case OrderOutcome::unclear:
       if (step.fromStore) {
-        storeOf(record->service).unclear(step.worker, now);
+        storeOf(record->service).recordUnclear(step.worker, now);
       }
       [[fallthrough]];
     case OrderOutcome::misdirected:
@@ -348,14 +349,14 @@
     return;
   }
   if (ended->operation == OrderOperation::load && status.unfinishedLoad) {
-    backoffs_[status.unfinishedLoad->service].loaded(ended->model);
+    backoffs_[status.unfinishedLoad->service].recordSuccess(ended->model);
     status.unfinishedLoad.reset();
   }
   const auto millis =
       std::chrono::duration_cast<std::chrono::milliseconds>(now - ended->acceptedAt).count();
   const WorkerRecord* record = state_.findWorker(id);
   StoreScheduler* store = record == nullptr ? nullptr : &storeOf(record->service);
-  const double lateness = store == nullptr ? 0 : store->ended(id, now);
+  const double lateness = store == nullptr ? 0 : store->recordEnd(id, now);
   log_.write(LogEvent::modelOrderEnded, {{"worker", id.value},
                                          {"operation", operationName(ended->operation)},
                                          {"model", ended->model},
--- a/src/registry/leader_plans.cpp
+++ b/src/registry/leader_plans.cpp
@@ -18,14 +18,14 @@
 
 /// Least time for which a worker with an order in progress counts as busy: the round trip of an
 /// order.
-constexpr base::Duration kLeastBusyTime = std::chrono::milliseconds(50);
+constexpr base::Duration kMinBusyTime = std::chrono::milliseconds(50);
 
 constexpr double kPercent = 100;
 constexpr double kMillis = 1000;
 
 std::uint64_t rounded(double value) {
-  constexpr double kMost = 1e12;
-  return static_cast<std::uint64_t>(std::clamp(value, 0.0, kMost));
+  constexpr double kMaxLogged = 1e12;
+  return static_cast<std::uint64_t>(std::clamp(value, 0.0, kMaxLogged));
 }
 
 std::string_view reasonName(PlacementReason reason) {
@@ -60,7 +60,8 @@
   return "unknown";
 }
 
-void noteOrder(PlacementWorker& worker, OrderOperation operation, const std::string& model) {
+void setOrderInProgress(PlacementWorker& worker, OrderOperation operation,
+                        const std::string& model) {
   (operation == OrderOperation::load ? worker.loadingModel : worker.unloadingModel) = model;
 }
 
@@ -89,9 +90,9 @@
 base::Duration busyTime(const WorkerStatus& status, base::TimePoint now) {
   if (status.modelOrder) {
     const base::TimePoint end = status.modelOrder->expectedEnd;
-    return std::max<base::Duration>(kLeastBusyTime, end > now ? end - now : now - end);
+    return std::max<base::Duration>(kMinBusyTime, end > now ? end - now : now - end);
   }
-  return status.sentOrder || status.foreignOrder ? kLeastBusyTime : base::Duration::zero();
+  return status.sentOrder || status.foreignOrder ? kMinBusyTime : base::Duration::zero();
 }
 
 }  // namespace
@@ -103,7 +104,9 @@
 }
 
 /// @return the most workers that a plan considers.
-std::size_t LeaderDuties::plannedWorkers() const { return std::min(workers_.size(), kMostPlanned); }
+std::size_t LeaderDuties::plannedWorkers() const {
+  return std::min(workers_.size(), kMaxPlannedWorkers);
+}
 
 void LeaderDuties::plan(base::TimePoint now) {
   if (document_ == nullptr) {
@@ -117,7 +120,7 @@
 }
 
 bool LeaderDuties::isLarge(const std::string& service) const {
-  return index_.of(service).size() > kMostPlanned;
+  return index_.of(service).size() > kMaxPlannedWorkers;
 }
 
 void LeaderDuties::planService(const catalog::Service& service, base::TimePoint now) {
@@ -144,14 +147,14 @@
       continue;
     }
     WorkerStatus& status = statusOf(id, now);
-    const bool target = pool.targets.count(id) != 0;
-    if ((target || pool.adapterHolders.count(id) != 0) && needsReport(*record, status, now)) {
+    const bool target = pool.loadTargets.count(id) != 0;
+    if ((target || pool.adapterTargets.count(id) != 0) && needsReport(*record, status, now)) {
       requestReport(*record, status);
     }
     workers.push_back(placementWorker(*record, status, now));
     workers.back().canLoadModels = target;
   }
-  decide(service, workers, pool.outside, now);
+  decide(service, workers, pool.otherHolders, now);
 }
 
 void LeaderDuties::decide(const catalog::Service& service,
@@ -160,7 +163,7 @@
                           base::TimePoint now) {
   PlacementPolicy& policy = policies_.try_emplace(service.name, service.name).first->second;
   StoreScheduler& store = storeOf(service.name);
-  store.setPatience(longestLoad(*service.engine), longestTimeout(*document_, service.name));
+  store.setLongestTimes(longestLoad(*service.engine), longestTimeout(*document_, service.name));
   store.setLimit(service.engine->storeLoadsPerSecond,
                  {options_.storeWindow, options_.storeOvershoot}, now);
   countForeignLoads(service, store);
@@ -186,7 +189,7 @@
                 {"reason", reasonName(decision.reason)},
                 {"outcome", outcomeName(decision.outcome)},
                 {"waiting", decision.waiting},
-                {"unanswered", decision.unanswered},
+                {"unanswered", decision.unservedRequests},
                 {"queued", rounded(decision.queued)},
                 {"rate-percent", rounded(kPercent * decision.rate)},
                 {"replicas", decision.replicas},
@@ -195,7 +198,7 @@
                 {"cost-millis", rounded(kMillis * decision.cost)},
                 {"worth-millis", rounded(kMillis * decision.benefit)},
                 {"tier", std::string_view(decision.fromStore ? "store" : "near")},
-                {"store-loads", std::uint64_t{store.underWay()}},
+                {"store-loads", std::uint64_t{store.loadsInProgress()}},
                 {"store-limit", std::uint64_t{store.limit()}},
                 {"store-wait", static_cast<std::uint64_t>(storeWait.count())}});
   }
@@ -212,7 +215,7 @@
                         !status->second.silent;
     foreign += counts ? 1 : 0;
   }
-  store.setForeign(foreign);
+  store.setPreviousLeaderLoads(foreign);
 }
 
 PlacementWorker LeaderDuties::placementWorker(const WorkerRecord& record,
@@ -224,7 +227,7 @@
   // A worker over its request limit doesn't count as a replica, so that the excess is served
   // elsewhere, and no new models are loaded on it.
   worker.serving = !outOfService(record) && !status.silent && !outliers_.failing(record.id) &&
-                   !limits_.wasShort(record.id, now);
+                   !limits_.wasOverLimit(record.id, now);
   worker.canLoadModels = !limits_.limitOf(record.id);
   worker.canTakeOrders = status.reportFresh && !status.sentOrder && !status.reportUnderWay &&
                          now >= status.orderAgainAt && mayOrder(record.id, now);
@@ -238,10 +241,10 @@
   }
   worker.running = demand_.running(record.id);
   if (status.modelOrder) {
-    noteOrder(worker, status.modelOrder->operation, status.modelOrder->model);
+    setOrderInProgress(worker, status.modelOrder->operation, status.modelOrder->model);
   }
   if (status.sentOrder && status.sentOrder->adapter.empty()) {
-    noteOrder(worker, status.sentOrder->operation, status.sentOrder->model);
+    setOrderInProgress(worker, status.sentOrder->operation, status.sentOrder->model);
   }
   worker.remainingOrderTime = busyTime(status, now);
   return worker;
--- a/src/registry/load_backoff.h
+++ b/src/registry/load_backoff.h
@@ -20,19 +20,19 @@
   /// Records that a worker ended while it was loading the model.
   /// @param orderedAt when that load was ordered.
   /// @return the pause until the next load; zero if there is none.
-  base::Duration workerEnded(const std::string& model, base::TimePoint orderedAt,
-                             base::TimePoint now);
-  void loaded(const std::string& model) { entries_.erase(model); }
+  base::Duration recordWorkerEnd(const std::string& model, base::TimePoint orderedAt,
+                                 base::TimePoint now);
+  void recordSuccess(const std::string& model) { entries_.erase(model); }
   /// @return the models that must not be loaded now.
   std::set<std::string> postponed(base::TimePoint now) const;
 
   static constexpr base::Duration kFirstPause = std::chrono::seconds(2);
   /// At this pause a service loses one worker every 32 s; workers restart within seconds.
-  static constexpr base::Duration kLongestPause = std::chrono::seconds(32);
+  static constexpr base::Duration kMaxPause = std::chrono::seconds(32);
 
  private:
   struct Entry {
-    std::uint32_t endsInRow = 0;
+    std::uint32_t consecutiveEnds = 0;
     base::TimePoint lastEndAt;
     base::TimePoint until;
   };
--- a/src/registry/load_concurrency.cpp
+++ b/src/registry/load_concurrency.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// A load up to this multiple of its declared time counts as in time: workers differ a little.
-constexpr double kOnTime = 1.15;
+constexpr double kInTimeFactor = 1.15;
 /// Concurrent loads that are attempted, as a multiple of those that the store was seen to serve in
 /// time.
-constexpr double kTriedBeyondShown = 2.0;
+constexpr double kProbeFactor = 2.0;
 /// Factor by which each late load that contradicts the number served in time reduces that number.
 /// Ten of them divide it by four, and a store that has become slow produces as many within the
 /// duration of a load.
-constexpr double kShownKept = 0.87;
+constexpr double kServedInTimeDecay = 0.87;
 /// Growth of the limit for each load in time once the store's capacity was reached, divided by the
 /// limit: one more concurrent load after four rounds, because each attempt makes loads late.
 constexpr double kSlowGrowth = 0.25;
@@ -32,44 +32,45 @@
   }
 }
 
-void LoadConcurrency::observe(std::uint64_t load, std::size_t underWayAtStart, double lateness,
+void LoadConcurrency::observe(std::uint64_t load, std::size_t inProgressAtStart, double lateness,
                               bool limitReached) {
   observed_ = true;
-  if (lateness <= kOnTime) {
+  if (lateness <= kInTimeFactor) {
     lastLate_.reset();
-    shown_ = std::max(shown_, static_cast<double>(underWayAtStart));
+    servedInTime_ = std::max(servedInTime_, static_cast<double>(inProgressAtStart));
     if (limitReached) {
-      grow(underWayAtStart);
+      grow(inProgressAtStart);
     }
   } else {
-    late(load, underWayAtStart, lateness);
+    handleLateLoad(load, inProgressAtStart, lateness);
   }
 }
 
 /// A load in time shows that the store can serve the loads that were in progress at its start. The
-/// limit grows to at most kTriedBeyondShown times that number.
-void LoadConcurrency::grow(std::size_t underWayAtStart) {
-  const double tried = kTriedBeyondShown * static_cast<double>(underWayAtStart);
-  if (limit_ < tried) {
-    const double probed = limit_ < 2 * kCautiousLimit ? kCautiousGrowth : 1.0;
-    limit_ = std::min(tried, limit_ + (probing_ ? probed : kSlowGrowth / limit_));
+/// limit grows to at most kProbeFactor times that number.
+void LoadConcurrency::grow(std::size_t inProgressAtStart) {
+  const double probeLimit = kProbeFactor * static_cast<double>(inProgressAtStart);
+  if (limit_ < probeLimit) {
+    const double probeStep = limit_ < 2 * kCautiousLimit ? kCautiousGrowth : 1.0;
+    limit_ = std::min(probeLimit, limit_ + (probing_ ? probeStep : kSlowGrowth / limit_));
   }
 }
 
 /// Lowers the limit after two late loads in a row, to the higher of their estimates, since a single
 /// one may be due to a late heartbeat. A load that started with no more in progress than the store
 /// serves in time is late for another reason, unless this happens repeatedly.
-void LoadConcurrency::late(std::uint64_t load, std::size_t underWayAtStart, double lateness) {
-  const auto underWay = static_cast<double>(underWayAtStart);
-  if (underWay <= shown_) {
-    shown_ *= kShownKept;
+void LoadConcurrency::handleLateLoad(std::uint64_t load, std::size_t inProgressAtStart,
+                                     double lateness) {
+  const auto loadsInProgress = static_cast<double>(inProgressAtStart);
+  if (loadsInProgress <= servedInTime_) {
+    servedInTime_ *= kServedInTimeDecay;
     return;
   }
-  const std::optional<LateLoad> former = lastLate_;
-  lastLate_ = {load, underWay / lateness};
-  if (former && former->load != load) {
+  const std::optional<LateLoad> previousLate = lastLate_;
+  lastLate_ = {load, loadsInProgress / lateness};
+  if (previousLate && previousLate->load != load) {
     probing_ = false;
-    limit_ = std::clamp(std::max(former->estimate, lastLate_->estimate), least(), limit_);
+    limit_ = std::clamp(std::max(previousLate->estimate, lastLate_->estimate), minLimit(), limit_);
   }
 }
 
--- a/src/registry/load_concurrency.h
+++ b/src/registry/load_concurrency.h
@@ -30,7 +30,7 @@
   /// them in the same total time. Too low a limit leaves the store idle, and each doubling takes
   /// the duration of a load.
   static constexpr double kInitialLimit = 8;
-  static constexpr double kLeastLimit = 2;
+  static constexpr double kMinLimit = 2;
   /// Initial limit and minimum where a wrong guess wastes every load.
   static constexpr double kCautiousLimit = 1;
 
@@ -42,27 +42,28 @@
 
   /// Adapts the limit to a load that has ended or is overdue.
   /// @param load identifies the load: repeated observations of one load count once.
-  /// @param underWayAtStart loads in progress when it started, itself included.
+  /// @param inProgressAtStart loads in progress when it started, itself included.
   /// @param lateness its duration as a multiple of the declared one.
   /// @param limitReached true if the limit kept another load from starting meanwhile.
-  void observe(std::uint64_t load, std::size_t underWayAtStart, double lateness, bool limitReached);
+  void observe(std::uint64_t load, std::size_t inProgressAtStart, double lateness,
+               bool limitReached);
 
  private:
-  void grow(std::size_t underWayAtStart);
-  void late(std::uint64_t load, std::size_t underWayAtStart, double lateness);
+  void grow(std::size_t inProgressAtStart);
+  void handleLateLoad(std::uint64_t load, std::size_t inProgressAtStart, double lateness);
 
   struct LateLoad {
     std::uint64_t load = 0;
     double estimate = 0;  ///< Estimated capacity of the store, in concurrent loads.
   };
 
-  double least() const { return cautious_ ? kCautiousLimit : kLeastLimit; }
+  double minLimit() const { return cautious_ ? kCautiousLimit : kMinLimit; }
 
   bool cautious_ = false;
   bool observed_ = false;  ///< True once a load was observed.
   double limit_ = kInitialLimit;
-  double shown_ = 0;     ///< Concurrent loads that the store was seen to serve in time.
-  bool probing_ = true;  ///< True until the store's capacity was first reached.
+  double servedInTime_ = 0;  ///< Concurrent loads that the store was seen to serve in time.
+  bool probing_ = true;      ///< True until the store's capacity was first reached.
   /// The previous load if it was late, otherwise empty.
   std::optional<LateLoad> lastLate_;
 };
--- a/src/registry/order_turns.cpp
+++ b/src/registry/order_turns.cpp
@@ -38,7 +38,7 @@
                                       base::Duration lease) const {
   const auto found = orderedAt_.find(worker);
   const base::TimePoint orderedAt =
-      found == orderedAt_.end() ? unknownAt_ : std::max(found->second, unknownAt_);
+      found == orderedAt_.end() ? lastMissedOrderAt_ : std::max(found->second, lastMissedOrderAt_);
   return std::min(orderedAt + kRecordedOrderLifetime, electedAt) + lease + kTurnMargin;
 }
 
--- a/src/registry/order_turns.h
+++ b/src/registry/order_turns.h
@@ -25,13 +25,13 @@
 class OrderTurns {
  public:
   /// @param now when this server starts to apply log entries.
-  explicit OrderTurns(base::TimePoint now) : unknownAt_(now) {}
+  explicit OrderTurns(base::TimePoint now) : lastMissedOrderAt_(now) {}
 
   /// Records that a log entry with orders for these workers was applied.
   void ordered(const std::vector<WorkerId>& workers, base::TimePoint now);
   /// The state was replaced by another server's snapshot. The orders in the skipped log entries may
   /// be as recent as now.
-  void restored(base::TimePoint now) { unknownAt_ = now; }
+  void restored(base::TimePoint now) { lastMissedOrderAt_ = now; }
   void forget(const WorkerId& worker) { orderedAt_.erase(worker); }
   /// A worker has restarted under its name. The orders to its previous incarnation still count.
   void succeeded(const WorkerId& former, const WorkerId& present);
@@ -43,7 +43,8 @@
 
  private:
   std::map<WorkerId, base::TimePoint> orderedAt_;
-  base::TimePoint unknownAt_;  ///< Upper bound for the times of orders that this server missed.
+  /// Upper bound for the times of orders that this server missed.
+  base::TimePoint lastMissedOrderAt_;
 };
 
 /// @return the server that held the order lease at the end of the log; zero if there was none.
--- a/src/registry/placement.cpp
+++ b/src/registry/placement.cpp
@@ -55,7 +55,7 @@
 /// the number of unserved ones, so that busier models can't put it off again and again.
 double coldLoadBenefit(const DemandFigures& figures) {
   // A new leader has received no counts of the requests that were already waiting.
-  const std::uint32_t unservedCount = std::max(figures.unanswered, figures.waiting);
+  const std::uint32_t unservedCount = std::max(figures.unservedRequests, figures.waiting);
   return unservedCount * (figures.rate + figures.waiting);
 }
 
@@ -169,7 +169,7 @@
   const PlacementRound::Replicas replicas = round.replicas(model);
   if (replicas.present == 0) {
     // Requests wait now, or would wait if their callers had not been turned away.
-    const bool isStarved = figures.unansweredFor >= kStarvedAfter &&
+    const bool isStarved = figures.unservedTime >= kStarvedAfter &&
                            round.now() < figures.lastArrival + kStarvedRequestGap;
     if (figures.waiting == 0 && lateModels_.count(model) == 0 && !isStarved) {
       return std::nullopt;
@@ -260,7 +260,7 @@
   decision.reason = candidate.reason;
   decision.outcome = outcome;
   decision.waiting = figures.waiting;
-  decision.unanswered = figures.unanswered;
+  decision.unservedRequests = figures.unservedRequests;
   decision.queued = replicas.queued;
   decision.rate = figures.rate;
   decision.replicas = replicas.present;
@@ -359,7 +359,7 @@
   reservations_.erase(name);
   loadRate_.count(round.now());
   if (choice.fromStore) {
-    round.store().ordered(worker.id, round.spec(name)->storeLoadTime, round.now());
+    round.store().recordOrdered(worker.id, round.spec(name)->storeLoadTime, round.now());
   }
   round.order({worker.id, OrderOperation::load, name, {}, choice.fromStore});
 }
--- a/src/registry/placement.h
+++ b/src/registry/placement.h
@@ -80,10 +80,10 @@
   std::string model;
   PlacementReason reason = PlacementReason::spare;
   PlacementOutcome outcome = PlacementOutcome::noWorker;
-  std::uint32_t waiting = 0;     ///< Requests that wait at gateways.
-  std::uint32_t unanswered = 0;  ///< Requests since the last one that was answered.
-  double queued = 0;             ///< Requests that wait for a slot of the model's workers.
-  double rate = 0;               ///< Arrivals per second.
+  std::uint32_t waiting = 0;           ///< Requests that wait at gateways.
+  std::uint32_t unservedRequests = 0;  ///< Requests since the last one that was answered.
+  double queued = 0;                   ///< Requests that wait for a slot of the model's workers.
+  double rate = 0;                     ///< Arrivals per second.
   std::uint32_t replicas = 0;
   WorkerId worker;     ///< The best worker, if any.
   std::string victim;  ///< The first model to unload there; empty if none has to be.
--- a/src/registry/placement_round.cpp
+++ b/src/registry/placement_round.cpp
@@ -242,13 +242,14 @@
   if (modelDemand.waiting > 0) {
     return kWaitedForCost;
   }
-  const double unanswered =
-      isRecent ? std::min(kUnservedRequestCost * modelDemand.unanswered, kMaxUnservedRequestCost)
-               : 0;
+  const double unservedCost =
+      isRecent
+          ? std::min(kUnservedRequestCost * modelDemand.unservedRequests, kMaxUnservedRequestCost)
+          : 0;
   const bool isOnDisk = contains(worker.holdings.onDisk, model);
   const bool hasOtherCopy = replicas(model).copies > 1;
   const double urgency = std::pow(kPriorityFactor, modelDemand.priority);
-  double cost = unanswered + (isOnDisk || hasOtherCopy ? 0 : kLastCopyCost);
+  double cost = unservedCost + (isOnDisk || hasOtherCopy ? 0 : kLastCopyCost);
   const double reloadTime =
       (modelSpec == nullptr ? 0 : seconds(modelSpec->diskLoadTime)) + kReloadOverheadSeconds;
   if (isOnDisk && reloadTime <= seconds(modelDemand.targetLatency)) {
--- a/src/registry/planning_pool.h
+++ b/src/registry/planning_pool.h
@@ -17,20 +17,21 @@
 /// a model only the number is needed.
 struct PlanningPool {
   std::set<WorkerId> workers;
-  std::set<WorkerId> targets;         ///< Members of `workers` that may be ordered to load models.
-  std::set<WorkerId> adapterHolders;  ///< Members of `workers` that may be ordered adapters.
-  std::map<std::string, std::uint32_t> outside;  ///< Number of other workers that serve a model.
+  std::set<WorkerId> loadTargets;     ///< Members of `workers` that may be ordered to load models.
+  std::set<WorkerId> adapterTargets;  ///< Members of `workers` that may be ordered adapters.
+  /// Number of other workers that serve a model, by model.
+  std::map<std::string, std::uint32_t> otherHolders;
 };
 
 /// @name Numbers of workers of one service
 /// @{
 /// A service with at most this many workers is planned with all of them.
-inline constexpr std::size_t kMostPlanned = 512;
+inline constexpr std::size_t kMaxPlannedWorkers = 512;
 inline constexpr std::size_t kPlannedTargets = 64;
 inline constexpr std::size_t kPlannedHolders = 4;  ///< Holders of each requested model.
 /// @}
 /// A model or adapter that was not requested within this time is not planned for.
-inline constexpr base::Duration kPlannedSince = std::chrono::seconds(20);
+inline constexpr base::Duration kPlannedDemandAge = std::chrono::seconds(20);
 
 /// Selects the workers to consider in a plan for a large service.
 /// @param start the worker from which targets are chosen, in the order of identifiers. It is the
--- a/src/registry/quota_ledger.cpp
+++ b/src/registry/quota_ledger.cpp
@@ -16,22 +16,22 @@
 /// admitted before the rate has added any tokens.
 constexpr double kToleranceAtStart = 0.2;
 /// Least capacity in seconds of the rate, for a tenant that has neither a burst nor a tolerance.
-constexpr double kLeastCapacitySeconds = 0.25;
+constexpr double kMinCapacitySeconds = 0.25;
 /// Share of the bucket's level that one gateway is granted in advance, and the share of the
 /// capacity above which this is done. Future requests may come at other gateways.
 constexpr double kAheadShare = 0.125;
 constexpr double kAheadAbove = 0.3;
 /// Time without a refused request after which a quota no longer counts as exhausted.
-constexpr base::Duration kExhaustedFor = std::chrono::seconds(2);
-constexpr base::Duration kLongestRetryAfter = std::chrono::seconds(8);
-constexpr base::Duration kShortestRetryAfter = std::chrono::milliseconds(50);
+constexpr base::Duration kExhaustedRetention = std::chrono::seconds(2);
+constexpr base::Duration kMaxRetryAfter = std::chrono::seconds(8);
+constexpr base::Duration kMinRetryAfter = std::chrono::milliseconds(50);
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 base::Duration timeFor(double amount, double perSecond) {
   const auto time = std::chrono::duration_cast<base::Duration>(
       std::chrono::duration<double>(perSecond > 0 ? amount / perSecond : 0));
-  return std::clamp<base::Duration>(time, kShortestRetryAfter, kLongestRetryAfter);
+  return std::clamp<base::Duration>(time, kMinRetryAfter, kMaxRetryAfter);
 }
 
 }  // namespace
@@ -49,49 +49,49 @@
       continue;
     }
     limited.insert(tenant.name);
-    BucketTerms terms;
-    terms.unitsPerSecond = tenant.unitsPerSecond;
-    terms.capacity = std::max(tenant.burst + kToleranceUsed * allowance(tenant),
-                              kLeastCapacitySeconds * tenant.unitsPerSecond);
-    terms.atStart = kToleranceAtStart * allowance(tenant);
-    setBucket(tenant.name, terms, now);
+    BucketParameters parameters;
+    parameters.unitsPerSecond = tenant.unitsPerSecond;
+    parameters.capacity = std::max(tenant.burst + kToleranceUsed * allowance(tenant),
+                                   kMinCapacitySeconds * tenant.unitsPerSecond);
+    parameters.initialLevel = kToleranceAtStart * allowance(tenant);
+    setBucket(tenant.name, parameters, now);
   }
   std::erase_if(buckets_,
                 [&limited](const auto& entry) { return limited.count(entry.first) == 0; });
 }
 
-void QuotaLedger::setBucket(const std::string& owner, const BucketTerms& terms,
+void QuotaLedger::setBucket(const std::string& owner, const BucketParameters& parameters,
                             base::TimePoint now) {
   const auto [found, added] = buckets_.try_emplace(owner);
   Bucket& bucket = found->second;
   if (added) {
-    bucket.level = terms.atStart;
+    bucket.level = parameters.initialLevel;
     bucket.refilledAt = now;
     bucket.changedAt = now;
   } else {
     refill(bucket, now);
   }
-  bucket.terms = terms;
-  bucket.level = std::min(bucket.level, terms.capacity);
+  bucket.parameters = parameters;
+  bucket.level = std::min(bucket.level, parameters.capacity);
 }
 
 void QuotaLedger::refill(Bucket& bucket, base::TimePoint now) const {
   std::erase_if(bucket.holdings, [&bucket, now](const auto& entry) {
     const bool ended = entry.second.until <= now;
-    bucket.outside -= ended ? entry.second.amount : 0;
+    bucket.heldByGateways -= ended ? entry.second.amount : 0;
     return ended;
   });
-  const double brought = bucket.terms.unitsPerSecond * seconds(now - bucket.refilledAt);
+  const double brought = bucket.parameters.unitsPerSecond * seconds(now - bucket.refilledAt);
   bucket.refilledAt = now;
   bucket.backlog = std::max(0.0, bucket.backlog - brought);
-  const double most = std::max(0.0, bucket.terms.capacity - bucket.outside);
+  const double most = std::max(0.0, bucket.parameters.capacity - bucket.heldByGateways);
   bucket.level = std::min(bucket.level + brought, std::max(most, 0.0));
 }
 
 void QuotaLedger::hold(Bucket& bucket, protocol::ConnectionId gateway, double amount,
                        base::TimePoint until) {
   Holding& holding = bucket.holdings[gateway];
-  bucket.outside += amount - holding.amount;
+  bucket.heldByGateways += amount - holding.amount;
   holding = {amount, until};
 }
 
@@ -111,8 +111,8 @@
   return answer;
 }
 
-double QuotaLedger::granted(const Bucket& bucket, double needed, double first) {
-  if (bucket.terms.wholeUnits) {
+double QuotaLedger::immediateGrant(const Bucket& bucket, double needed, double first) {
+  if (bucket.parameters.wholeUnits) {
     return std::min(needed, std::floor(bucket.level));
   }
   return bucket.level >= needed ? needed : bucket.level >= first ? first : 0;
@@ -120,13 +120,13 @@
 
 /// @return the tokens to grant for future requests. They are few, because tokens that a gateway
 /// holds without need are missing at the others.
-double QuotaLedger::grantedAhead(const Bucket& bucket, double ahead, base::TimePoint now) {
-  if (bucket.terms.wholeUnits) {
-    const bool scarce = bucket.exhausted && now < bucket.shortAt + kExhaustedFor;
-    return scarce ? 0 : std::min(ahead, std::floor(bucket.level));
+double QuotaLedger::advanceGrant(const Bucket& bucket, double ahead, base::TimePoint now) {
+  if (bucket.parameters.wholeUnits) {
+    const bool isScarce = bucket.exhausted && now < bucket.lastShortageAt + kExhaustedRetention;
+    return isScarce ? 0 : std::min(ahead, std::floor(bucket.level));
   }
-  const bool plenty = bucket.level > kAheadAbove * bucket.terms.capacity;
-  return plenty ? std::min(ahead, kAheadShare * bucket.level) : 0;
+  const bool hasPlenty = bucket.level > kAheadAbove * bucket.parameters.capacity;
+  return hasPlenty ? std::min(ahead, kAheadShare * bucket.level) : 0;
 }
 
 QuotaShare QuotaLedger::grantShare(Bucket& bucket, protocol::ConnectionId gateway,
@@ -135,15 +135,15 @@
   hold(bucket, gateway, held, now + kQuotaLease);
   refill(bucket, now);
   bucket.level = std::min(bucket.level + std::max(0.0, claim.returned),
-                          std::max(bucket.terms.capacity - bucket.outside, 0.0));
+                          std::max(bucket.parameters.capacity - bucket.heldByGateways, 0.0));
   // A grant of less than a request needs would be of no use to this gateway, and missing at others.
   const double needed = std::max(0.0, claim.needed);
   const double first = std::clamp(claim.first, 0.0, needed);
-  double grant = granted(bucket, needed, first);
+  double grant = immediateGrant(bucket, needed, first);
   bucket.level -= grant;
   const bool enough = grant >= needed;
   if (enough) {
-    const double ahead = grantedAhead(bucket, std::max(0.0, claim.ahead), now);
+    const double ahead = advanceGrant(bucket, std::max(0.0, claim.ahead), now);
     bucket.level -= ahead;
     grant += ahead;
   }
@@ -151,26 +151,27 @@
   QuotaShare share{claim.owner, grant, base::Duration::zero()};
   if (!enough) {
     // Callers get increasing retry times: each time covers the units refused before it.
-    const double most = bucket.terms.unitsPerSecond * seconds(kLongestRetryAfter);
+    const double most = bucket.parameters.unitsPerSecond * seconds(kMaxRetryAfter);
     bucket.backlog = std::min(bucket.backlog + needed - grant, most);
-    share.retryAfter = timeFor(bucket.backlog, bucket.terms.unitsPerSecond);
+    share.retryAfter = timeFor(bucket.backlog, bucket.parameters.unitsPerSecond);
   }
   if (needed > 0) {
-    noteExhausted(bucket, claim.owner, !enough, now);
+    updateExhausted(bucket, claim.owner, !enough, now);
   }
   return share;
 }
 
-void QuotaLedger::noteExhausted(Bucket& bucket, const std::string& owner, bool exhausted,
-                                base::TimePoint now) {
-  bucket.shortAt = exhausted ? now : bucket.shortAt;
-  const bool lasts = bucket.exhausted && now < bucket.shortAt + kExhaustedFor;
-  if (bucket.exhausted == exhausted || lasts) {
+void QuotaLedger::updateExhausted(Bucket& bucket, const std::string& owner, bool exhausted,
+                                  base::TimePoint now) {
+  bucket.lastShortageAt = exhausted ? now : bucket.lastShortageAt;
+  const bool isStillExhausted =
+      bucket.exhausted && now < bucket.lastShortageAt + kExhaustedRetention;
+  if (bucket.exhausted == exhausted || isStillExhausted) {
     return;
   }
   bucket.exhausted = exhausted;
-  changes_.push_back(
-      {owner, exhausted, bucket.terms.unitsPerSecond, bucket.outside, now - bucket.changedAt});
+  changes_.push_back({owner, exhausted, bucket.parameters.unitsPerSecond, bucket.heldByGateways,
+                      now - bucket.changedAt});
   bucket.changedAt = now;
 }
 
--- a/src/registry/quota_ledger.h
+++ b/src/registry/quota_ledger.h
@@ -15,10 +15,10 @@
 namespace walnut::registry {
 
 /// The parameters of a bucket.
-struct BucketTerms {
+struct BucketParameters {
   double unitsPerSecond = 0;
   double capacity = 0;
-  double atStart = 0;       ///< Initial level of a new bucket.
+  double initialLevel = 0;  ///< Initial level of a new bucket.
   bool wholeUnits = false;  ///< True if a unit is a request, so that only whole units are granted.
 };
 
@@ -40,7 +40,7 @@
 
   /// Replaces the owners: from now on exactly the tenants with a quota have a bucket.
   void setTenants(const std::vector<catalog::Tenant>& tenants, base::TimePoint now);
-  void setBucket(const std::string& owner, const BucketTerms& terms, base::TimePoint now);
+  void setBucket(const std::string& owner, const BucketParameters& parameters, base::TimePoint now);
   void removeBucket(const std::string& owner) { buckets_.erase(owner); }
   bool has(const std::string& owner) const { return buckets_.count(owner) != 0; }
   QuotaGrant grant(protocol::ConnectionId gateway, const QuotaRequest& request,
@@ -61,26 +61,27 @@
     base::TimePoint until;
   };
   struct Bucket {
-    BucketTerms terms;
+    BucketParameters parameters;
     double level = 0;
-    double outside = 0;  ///< Sum of the holdings.
+    double heldByGateways = 0;  ///< Sum of the holdings.
     double backlog = 0;  ///< Refused units whose callers were told to retry once they are refilled.
     base::TimePoint refilledAt;
     std::map<protocol::ConnectionId, Holding> holdings;
     bool exhausted = false;
     base::TimePoint changedAt;
-    base::TimePoint shortAt;  ///< When a request last needed more than the bucket had.
+    base::TimePoint lastShortageAt;  ///< When a request last needed more than the bucket had.
   };
 
   double allowance(const catalog::Tenant& tenant) const;
   void refill(Bucket& bucket, base::TimePoint now) const;
-  static double granted(const Bucket& bucket, double needed, double first);
-  static double grantedAhead(const Bucket& bucket, double ahead, base::TimePoint now);
+  static double immediateGrant(const Bucket& bucket, double needed, double first);
+  static double advanceGrant(const Bucket& bucket, double ahead, base::TimePoint now);
   static void hold(Bucket& bucket, protocol::ConnectionId gateway, double amount,
                    base::TimePoint until);
   QuotaShare grantShare(Bucket& bucket, protocol::ConnectionId gateway, const QuotaClaim& claim,
                         base::TimePoint now);
-  void noteExhausted(Bucket& bucket, const std::string& owner, bool exhausted, base::TimePoint now);
+  void updateExhausted(Bucket& bucket, const std::string& owner, bool exhausted,
+                       base::TimePoint now);
 
   const QuotaOptions options_;
   std::map<std::string, Bucket> buckets_;  ///< By owner.
--- a/src/registry/store_rate.cpp
+++ b/src/registry/store_rate.cpp
@@ -11,9 +11,9 @@
 /// Loads that a window may contain beyond the rate and its overshoot, less one for safety.
 constexpr double kBurstBeyondOvershoot = 2.0;
 /// Tokens at the end of previous leaders' loads, which may have used up the burst.
-constexpr double kTokensAfterOthers = 1.0;
+constexpr double kTokensAfterPreviousLeaders = 1.0;
 /// An order with an unclear outcome is carried out within this time or never.
-constexpr base::Duration kUnclearFor = std::chrono::seconds(12);
+constexpr base::Duration kUnclearOrderLifetime = std::chrono::seconds(12);
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -32,26 +32,26 @@
   perSecond_ = perSecond;
   burst_ = burstOf(perSecond, window);
   refill(now);
-  while (!unclear_.empty() && unclear_.front() + kUnclearFor <= now) {
-    unclear_.pop_front();
+  while (!unclearOrders_.empty() && unclearOrders_.front() + kUnclearOrderLifetime <= now) {
+    unclearOrders_.pop_front();
   }
 }
 
-void StoreRate::begin(base::TimePoint now) {
-  tokens_ = former_.endedAt ? kTokensAfterOthers : burst_;
-  refilledAt_ = former_.endedAt ? std::min(*former_.endedAt, now) : now;
+void StoreRate::initialize(base::TimePoint now) {
+  tokens_ = previousLoads_.endedAt ? kTokensAfterPreviousLeaders : burst_;
+  refilledAt_ = previousLoads_.endedAt ? std::min(*previousLoads_.endedAt, now) : now;
 }
 
 void StoreRate::refill(base::TimePoint now) {
   if (!refilledAt_) {
-    begin(now);
+    initialize(now);
   }
   tokens_ = std::min(burst_, tokens_ + perSecond_ * seconds(now - *refilledAt_));
   refilledAt_ = now;
 }
 
 base::Duration StoreRate::wait(std::size_t before) const {
-  const double kept = std::min(burst_ - 1.0, static_cast<double>(unclear_.size()));
+  const double kept = std::min(burst_ - 1.0, static_cast<double>(unclearOrders_.size()));
   const double missing = 1.0 + kept + static_cast<double>(before) - tokens_;
   if (perSecond_ <= 0 || missing <= 0) {
     return base::Duration::zero();
@@ -60,6 +60,6 @@
   return std::max(base::Duration(1), std::chrono::duration_cast<base::Duration>(wait));
 }
 
-void StoreRate::taken() { tokens_ -= 1.0; }
+void StoreRate::recordStart() { tokens_ -= 1.0; }
 
 }  // namespace walnut::registry
--- a/src/registry/store_rate.h
+++ b/src/registry/store_rate.h
@@ -29,7 +29,7 @@
 class StoreRate {
  public:
   StoreRate() = default;
-  explicit StoreRate(const FormerLoads& former) : former_(former) {}
+  explicit StoreRate(const FormerLoads& previousLoads) : previousLoads_(previousLoads) {}
 
   /// @return the most loads that may start within that time of the first one, if none preceded it.
   static double mostBegun(double perSecond, const StoreWindow& window, base::Duration duration);
@@ -39,19 +39,19 @@
   bool allows() const { return wait(0) == base::Duration::zero(); }
   /// @return time from the last `setLimit` until a load may start that comes after `before` others.
   base::Duration wait(std::size_t before) const;
-  void taken();
-  void unclear(base::TimePoint now) { unclear_.push_back(now); }
+  void recordStart();
+  void recordUnclear(base::TimePoint now) { unclearOrders_.push_back(now); }
 
  private:
-  void begin(base::TimePoint now);
+  void initialize(base::TimePoint now);
   void refill(base::TimePoint now);
 
-  FormerLoads former_;
+  FormerLoads previousLoads_;
   double perSecond_ = 0;
   double burst_ = 1;
   double tokens_ = 0;
   std::optional<base::TimePoint> refilledAt_;  ///< Empty until the limit is first set.
-  std::deque<base::TimePoint> unclear_;        ///< Times of unclear outcomes, the oldest first.
+  std::deque<base::TimePoint> unclearOrders_;  ///< Times of unclear outcomes, the oldest first.
 };
 
 }  // namespace walnut::registry
--- a/src/registry/store_scheduler.cpp
+++ b/src/registry/store_scheduler.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 /// A load that takes less than this share of its declared time was served by a disk after all.
-constexpr double kLeastShare = 0.6;
+constexpr double kMinStoreLoadShare = 0.6;
 /// A load that takes longer than this multiple of its declared time is a sign of an overloaded
 /// store before it ends, and again each time its lateness grows by the same factor.
-constexpr double kOverdue = 1.3;
+constexpr double kOverdueFactor = 1.3;
 
 /// Longest delay between the end of a load and its notification here in normal operation: the
 /// interval of the heartbeat that reports it, and a busy leader. Without this allowance short loads
 /// would seem late.
-constexpr base::Duration kNewsDelay = std::chrono::milliseconds(300);
+constexpr base::Duration kNotificationDelay = std::chrono::milliseconds(300);
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -23,40 +23,42 @@
 
 double StoreScheduler::Load::lateness(base::TimePoint now) const {
   const double declared = seconds(declaredTime);
-  return declared <= 0 ? 0 : seconds(now - begunAt - kNewsDelay) / declared;
+  return declared <= 0 ? 0 : seconds(now - startedAt - kNotificationDelay) / declared;
 }
 
 base::TimePoint StoreScheduler::Load::expectedEnd(std::size_t limit) const {
-  const double crowding = static_cast<double>(underWayAtStart) / static_cast<double>(limit);
-  return begunAt + std::chrono::duration_cast<base::Duration>(
-                       std::chrono::duration<double>(declaredTime) * std::max(1.0, crowding));
+  const double crowding = static_cast<double>(inProgressAtStart) / static_cast<double>(limit);
+  return startedAt + std::chrono::duration_cast<base::Duration>(
+                         std::chrono::duration<double>(declaredTime) * std::max(1.0, crowding));
 }
 
 void StoreScheduler::setLimit(double perSecond, const StoreWindow& window, base::TimePoint now) {
   rate_.setLimit(perSecond, window, now);
-  noteOverdue(now);
+  observeOverdue(now);
 }
 
 /// Observes overdue loads before they end. Loads of lost workers are overdue too, so the store
 /// counts as overloaded only if more than half of the loads are.
-void StoreScheduler::noteOverdue(base::TimePoint now) {
-  const auto overdue = [now](const auto& entry) { return entry.second.lateness(now) >= kOverdue; };
+void StoreScheduler::observeOverdue(base::TimePoint now) {
+  const auto overdue = [now](const auto& entry) {
+    return entry.second.lateness(now) >= kOverdueFactor;
+  };
   const auto count = std::count_if(loads_.begin(), loads_.end(), overdue);
   if (2 * static_cast<std::size_t>(count) <= loads_.size()) {
     return;
   }
   for (auto& [worker, load] : loads_) {
     const double lateness = load.lateness(now);
-    if (lateness >= load.notedLateness * kOverdue) {
-      load.notedLateness = lateness;
+    if (lateness >= load.observedLateness * kOverdueFactor) {
+      load.observedLateness = lateness;
       observe(load, lateness);
     }
   }
 }
 
 void StoreScheduler::observe(const Load& load, double lateness) {
-  concurrency_.observe(load.number, load.underWayAtStart, lateness,
-                       limitReachedAt_ >= load.begunAt);
+  concurrency_.observe(load.number, load.inProgressAtStart, lateness,
+                       limitReachedAt_ >= load.startedAt);
 }
 
 base::Duration StoreScheduler::expectedWait(base::TimePoint now) const {
@@ -77,33 +79,33 @@
   return std::max(expectedWait(now) + rounds * load, rate_.wait(before));
 }
 
-void StoreScheduler::ordered(const WorkerId& worker, base::Duration declaredTime,
-                             base::TimePoint now) {
-  rate_.taken();
+void StoreScheduler::recordOrdered(const WorkerId& worker, base::Duration declaredTime,
+                                   base::TimePoint now) {
+  rate_.recordStart();
   Load load;
-  load.number = ++lastLoad_;
-  load.begunAt = now;
+  load.number = ++lastLoadNumber_;
+  load.startedAt = now;
   load.declaredTime = declaredTime;
-  load.underWayAtStart = underWay() + 1;
+  load.inProgressAtStart = loadsInProgress() + 1;
   loads_[worker] = load;
-  if (underWay() >= concurrency_.limit()) {
+  if (loadsInProgress() >= concurrency_.limit()) {
     limitReachedAt_ = now;
   }
 }
 
-void StoreScheduler::accepted(const WorkerId& worker, base::TimePoint now) {
+void StoreScheduler::recordAccepted(const WorkerId& worker, base::TimePoint now) {
   const auto found = loads_.find(worker);
   if (found != loads_.end()) {
-    found->second.begunAt = now;
+    found->second.startedAt = now;
   }
 }
 
-void StoreScheduler::unclear(const WorkerId& worker, base::TimePoint now) {
-  rate_.unclear(now);
+void StoreScheduler::recordUnclear(const WorkerId& worker, base::TimePoint now) {
+  rate_.recordUnclear(now);
   loads_.erase(worker);
 }
 
-double StoreScheduler::ended(const WorkerId& worker, base::TimePoint now) {
+double StoreScheduler::recordEnd(const WorkerId& worker, base::TimePoint now) {
   const auto found = loads_.find(worker);
   if (found == loads_.end()) {
     return 0;
@@ -111,7 +113,7 @@
   const Load load = found->second;
   loads_.erase(found);
   const double lateness = load.lateness(now);
-  if (now - load.begunAt >= kLeastShare * load.declaredTime) {
+  if (now - load.startedAt >= kMinStoreLoadShare * load.declaredTime) {
     observe(load, lateness);
   }
   return lateness;
--- a/src/registry/store_scheduler.h
+++ b/src/registry/store_scheduler.h
@@ -16,23 +16,24 @@
 class StoreScheduler {
  public:
   StoreScheduler() = default;
-  explicit StoreScheduler(const FormerLoads& former) : rate_(former) {}
+  explicit StoreScheduler(const FormerLoads& previousLoads) : rate_(previousLoads) {}
 
   /// Sets the times that decide whether the concurrency limit starts cautiously.
   /// @param longestLoad longest store load time that a model declares.
   /// @param patience longest time that a caller waits.
-  void setPatience(base::Duration longestLoad, base::Duration patience) {
-    concurrency_.setCautious(patience > base::Duration::zero() && 2 * longestLoad > patience);
+  void setLongestTimes(base::Duration longestLoad, base::Duration callerTimeout) {
+    concurrency_.setCautious(callerTimeout > base::Duration::zero() &&
+                             2 * longestLoad > callerTimeout);
   }
   /// Sets the rate limit and the current time. Has to be called before the other functions.
   void setLimit(double perSecond, const StoreWindow& window, base::TimePoint now);
   /// Sets the number of loads in progress that a previous leader ordered, taken as the number of
   /// workers that are busy with an unknown order.
-  void setForeign(std::size_t loads) { foreign_ = loads; }
+  void setPreviousLeaderLoads(std::size_t loads) { previousLeaderLoads_ = loads; }
 
   /// @return true if a load may start now.
-  bool allows() const { return rate_.allows() && underWay() < concurrency_.limit(); }
-  std::size_t underWay() const { return loads_.size() + foreign_; }
+  bool allows() const { return rate_.allows() && loadsInProgress() < concurrency_.limit(); }
+  std::size_t loadsInProgress() const { return loads_.size() + previousLeaderLoads_; }
   std::size_t limit() const { return concurrency_.limit(); }
   /// @return zero if a load may start now, otherwise the time until the first load is expected to
   /// end.
@@ -43,38 +44,38 @@
   /// @name State changes of a load
   /// @{
   /// @param declaredTime duration of the load if the store isn't overloaded.
-  void ordered(const WorkerId& worker, base::Duration declaredTime, base::TimePoint now);
-  void accepted(const WorkerId& worker, base::TimePoint now);
+  void recordOrdered(const WorkerId& worker, base::Duration declaredTime, base::TimePoint now);
+  void recordAccepted(const WorkerId& worker, base::TimePoint now);
   /// It is unknown whether the load starts. It counts towards the rate for some time, but not as a
   /// load in progress, since its worker may be lost. If it did start, the worker's next report
-  /// shows it, see `setForeign`.
-  void unclear(const WorkerId& worker, base::TimePoint now);
+  /// shows it, see `setPreviousLeaderLoads`.
+  void recordUnclear(const WorkerId& worker, base::TimePoint now);
   /// @return the load's duration as a multiple of the declared one; 0 if there is no such load.
-  double ended(const WorkerId& worker, base::TimePoint now);
+  double recordEnd(const WorkerId& worker, base::TimePoint now);
   /// The load was refused, or its worker is lost.
-  void abandoned(const WorkerId& worker) { loads_.erase(worker); }
+  void recordAbandoned(const WorkerId& worker) { loads_.erase(worker); }
   /// @}
 
  private:
   struct Load {
     std::uint64_t number = 0;
-    base::TimePoint begunAt;
+    base::TimePoint startedAt;
     base::Duration declaredTime{0};
-    std::size_t underWayAtStart = 1;
-    double notedLateness = 1;  ///< The last lateness that was observed before the load's end.
+    std::size_t inProgressAtStart = 1;
+    double observedLateness = 1;  ///< The last lateness that was observed before the load's end.
 
     double lateness(base::TimePoint now) const;
     base::TimePoint expectedEnd(std::size_t limit) const;
   };
 
-  void noteOverdue(base::TimePoint now);
+  void observeOverdue(base::TimePoint now);
   void observe(const Load& load, double lateness);
 
   StoreRate rate_;
   LoadConcurrency concurrency_;
   std::map<WorkerId, Load> loads_;
-  std::uint64_t lastLoad_ = 0;
-  std::size_t foreign_ = 0;
+  std::uint64_t lastLoadNumber_ = 0;
+  std::size_t previousLeaderLoads_ = 0;
   base::TimePoint limitReachedAt_;  ///< When the concurrency limit was last reached.
 };
 
--- a/src/registry/worker_limit_book.cpp
+++ b/src/registry/worker_limit_book.cpp
@@ -16,9 +16,9 @@
 /// Time for which a worker counts as over its limit after a request that got no share. It is longer
 /// than loading the worker's models elsewhere and detecting that they are served there: if it
 /// counted as a replica again too soon, the new replicas would seem surplus.
-constexpr base::Duration kShortLasts = std::chrono::seconds(20);
+constexpr base::Duration kOverLimitRetention = std::chrono::seconds(20);
 /// Number of ended limits that are remembered, so that late reports of them have no effect.
-constexpr std::size_t kMostEnded = 4096;
+constexpr std::size_t kMaxEndedLimits = 4096;
 
 }  // namespace
 
@@ -31,14 +31,14 @@
   return found == limits_.end() ? std::nullopt : std::optional(found->second.named.perSecond);
 }
 
-bool WorkerLimitBook::wasShort(const WorkerId& worker, base::TimePoint now) const {
+bool WorkerLimitBook::wasOverLimit(const WorkerId& worker, base::TimePoint now) const {
   const auto found = limits_.find(worker);
-  return found != limits_.end() && now < found->second.shortUntil;
+  return found != limits_.end() && now < found->second.overLimitUntil;
 }
 
 void WorkerLimitBook::forget(const WorkerId& worker) {
   limits_.erase(worker);
-  ended_.erase(worker);
+  endedAt_.erase(worker);
   ledger_.removeBucket(worker.value);
 }
 
@@ -46,8 +46,8 @@
                                                              base::TimePoint now) {
   std::vector<Change> changes;
   for (const LimitSighting& sighting : report.sightings) {
-    auto change = sighting.perSecond ? named(sighting.worker, sighting, now)
-                                     : notNamed(sighting.worker, sighting, now);
+    auto change = sighting.perSecond ? applyNamedLimit(sighting.worker, sighting, now)
+                                     : applyMissingLimit(sighting.worker, sighting, now);
     if (change) {
       changes.push_back(std::move(*change));
     }
@@ -55,41 +55,39 @@
   return changes;
 }
 
-std::optional<WorkerLimitBook::Change> WorkerLimitBook::named(const WorkerId& worker,
-                                                              const LimitSighting& sighting,
-                                                              base::TimePoint now) {
+std::optional<WorkerLimitBook::Change> WorkerLimitBook::applyNamedLimit(
+    const WorkerId& worker, const LimitSighting& sighting, base::TimePoint now) {
   const base::TimePoint answeredAt = now - sighting.answeredAgo;
-  const auto ended = ended_.find(worker);
-  if (ended != ended_.end() && answeredAt < ended->second) {
+  const auto ended = endedAt_.find(worker);
+  if (ended != endedAt_.end() && answeredAt < ended->second) {
     return std::nullopt;
   }
   const double perSecond = *sighting.perSecond;
-  const std::optional<double> former = limitOf(worker);
+  const std::optional<double> previous = limitOf(worker);
   Limit& limit = limits_[worker];
-  if (former && !limit.named.yieldsTo(perSecond, now - sighting.sentAgo)) {
+  if (previous && !limit.named.yieldsTo(perSecond, now - sighting.sentAgo)) {
     return std::nullopt;
   }
   limit.named = {perSecond, answeredAt};
-  ended_.erase(worker);
-  const double rate = std::max(perSecond, kLeastLimit);
+  endedAt_.erase(worker);
+  const double rate = std::max(perSecond, kMinRequestsPerSecond);
   ledger_.setBucket(worker.value, {rate, capacityOf(rate), 0, true}, now);
-  return Change{worker, perSecond, former, sighting.answeredAgo};
+  return Change{worker, perSecond, previous, sighting.answeredAgo};
 }
 
-std::optional<WorkerLimitBook::Change> WorkerLimitBook::notNamed(const WorkerId& worker,
-                                                                 const LimitSighting& sighting,
-                                                                 base::TimePoint now) {
+std::optional<WorkerLimitBook::Change> WorkerLimitBook::applyMissingLimit(
+    const WorkerId& worker, const LimitSighting& sighting, base::TimePoint now) {
   const auto found = limits_.find(worker);
   if (found == limits_.end() || !found->second.named.endsBy(now - sighting.sentAgo)) {
     return std::nullopt;
   }
-  const double former = found->second.named.perSecond;
+  const double previous = found->second.named.perSecond;
   forget(worker);
-  if (ended_.size() >= kMostEnded) {
-    ended_.clear();
+  if (endedAt_.size() >= kMaxEndedLimits) {
+    endedAt_.clear();
   }
-  ended_[worker] = now - sighting.answeredAgo;
-  return Change{worker, std::nullopt, former, sighting.answeredAgo};
+  endedAt_[worker] = now - sighting.answeredAgo;
+  return Change{worker, std::nullopt, previous, sighting.answeredAgo};
 }
 
 ShareGrant WorkerLimitBook::grant(protocol::ConnectionId gateway, const ShareRequest& request,
@@ -104,7 +102,7 @@
   for (const QuotaShare& share : answer.grant.shares) {
     const auto limit = limits_.find({share.owner});
     if (share.retryAfter > base::Duration::zero() && limit != limits_.end()) {
-      limit->second.shortUntil = now + kShortLasts;
+      limit->second.overLimitUntil = now + kOverLimitRetention;
     }
   }
   return answer;
--- a/src/registry/worker_limit_book.h
+++ b/src/registry/worker_limit_book.h
@@ -34,7 +34,7 @@
   struct Change {
     WorkerId worker;
     std::optional<double> perSecond;
-    std::optional<double> former;
+    std::optional<double> previous;
     base::Duration age{0};  ///< Age of the answer that the change follows from.
   };
   /// @return the changes that follow from the report.
@@ -45,7 +45,7 @@
 
   std::optional<double> limitOf(const WorkerId& worker) const;
   /// @return true if gateways recently requested more than the worker's limit.
-  bool wasShort(const WorkerId& worker, base::TimePoint now) const;
+  bool wasOverLimit(const WorkerId& worker, base::TimePoint now) const;
   std::vector<QuotaLedger::Change> takeChanges() { return ledger_.takeChanges(); }
 
   /// @return the capacity of a bucket in requests.
@@ -54,16 +54,16 @@
  private:
   struct Limit {
     NamedLimit named;
-    base::TimePoint shortUntil;  ///< The worker counts as over its limit until then.
+    base::TimePoint overLimitUntil;  ///< The worker counts as over its limit until then.
   };
 
-  std::optional<Change> named(const WorkerId& worker, const LimitSighting& sighting,
-                              base::TimePoint now);
-  std::optional<Change> notNamed(const WorkerId& worker, const LimitSighting& sighting,
-                                 base::TimePoint now);
+  std::optional<Change> applyNamedLimit(const WorkerId& worker, const LimitSighting& sighting,
+                                        base::TimePoint now);
+  std::optional<Change> applyMissingLimit(const WorkerId& worker, const LimitSighting& sighting,
+                                          base::TimePoint now);
 
   std::map<WorkerId, Limit> limits_;
-  std::map<WorkerId, base::TimePoint> ended_;  ///< Times of the answers that ended limits.
+  std::map<WorkerId, base::TimePoint> endedAt_;  ///< Times of the answers that ended limits.
   QuotaLedger ledger_;
 };
 
--- a/test/registry/cold_worker_test.cpp
+++ b/test/registry/cold_worker_test.cpp
@@ -83,7 +83,7 @@
 };
 
 /// The 60 gateways have 48 requests per second together, so 12 of them have 9.6.
-TEST(ColdWorkerTest, itIsToldToSoManyAsSendNoMoreThanItBears) {
+TEST(ColdWorkerTest, itIsAnnouncedOnlyToAsManyGatewaysAsItCanServe) {
   leadCold();
   demandAtAll(8);
   startWorker("w3", 3);
@@ -93,7 +93,7 @@
   CHECK_TRUE(static_cast<double>(told) * 48 / kGateways <= kColdPerSecond);
 }
 
-TEST(ColdWorkerTest, itIsToldToAllOnceItIsWarm) {
+TEST(ColdWorkerTest, itIsAnnouncedToAllOnceItIsWarm) {
   leadCold();
   demandAtAll(8);
   startWorker("w3", 3);
@@ -101,7 +101,7 @@
   CHECK_EQUAL(kGateways, toldInService("w3"));
 }
 
-TEST(ColdWorkerTest, whereAllTogetherSendLessItIsToldToAll) {
+TEST(ColdWorkerTest, itIsAnnouncedToAllIfTheirTotalDemandIsLow) {
   leadCold();
   runGateways(20s);
   demandAtAll(1);
@@ -110,7 +110,7 @@
   CHECK_EQUAL(kGateways, toldInService("w3"));
 }
 
-TEST(ColdWorkerTest, workersThatWereThereBeforeAreNotCold) {
+TEST(ColdWorkerTest, existingWorkersAreNotCold) {
   leadCold();
   demandAtAll(8);
   runGateways(100ms);
@@ -135,7 +135,7 @@
 }
 
 /// The leader is killed two seconds after the start of the worker.
-TEST(ColdWorkerTest, aNewLeaderKnowsWhoHasStartedLately) {
+TEST(ColdWorkerTest, aNewLeaderKnowsWhichWorkersStartedRecently) {
   registrations.registered({"w1"}, now);
   now += 2s;
   leadCold();
@@ -145,7 +145,7 @@
   CHECK_EQUAL(kGateways, toldInService("w1"));
 }
 
-TEST(ColdWorkerTest, registrationsOfLongAgoAreForgotten) {
+TEST(ColdWorkerTest, oldRegistrationsAreForgotten) {
   registrations.registered({"w1"}, now);
   registrations.registered({"w2"}, now + 2min);
   CHECK_FALSE(registrations.of({"w1"}).has_value());
--- a/test/registry/demand_names_test.cpp
+++ b/test/registry/demand_names_test.cpp
@@ -64,32 +64,32 @@
   }
 };
 
-TEST(DemandNamesTest, whoAskedForANamedModelIsToldOnceItIsHeld) {
+TEST(DemandNamesTest, aGatewayIsNotifiedOfAHolderOfADeclaredModelItRequested) {
   leadLargeFleet();
   ask("a", "");
   CHECK_TRUE(toldOnceHeld("a", {}));
 }
 
-TEST(DemandNamesTest, whoAskedForANamedAdapterIsToldOnceItIsHeld) {
+TEST(DemandNamesTest, aGatewayIsNotifiedOfAHolderOfADeclaredAdapterItRequested) {
   leadLargeFleet();
   ask("a", "a2");
   CHECK_TRUE(toldOnceHeld("a", {"a2"}));
 }
 
-TEST(DemandNamesTest, anInventedModelIsNotRemembered) {
+TEST(DemandNamesTest, anInventedModelNameIsNotStored) {
   leadLargeFleet();
   ask("invented", "");
   CHECK_FALSE(toldOnceHeld("invented", {}));
 }
 
-TEST(DemandNamesTest, anInventedAdapterIsNotRemembered) {
+TEST(DemandNamesTest, anInventedAdapterNameIsNotStored) {
   leadLargeFleet();
   ask("a", "a3");
   CHECK_FALSE(toldOnceHeld("a", {"a3"}));
 }
 
 /// A new document may no longer declare a model that workers still serve.
-TEST(DemandNamesTest, whatIsHeldIsToldThoughNothingNamesIt) {
+TEST(DemandNamesTest, aHeldModelIsReportedThoughTheDocumentDoesNotDeclareIt) {
   leadLargeFleet();
   CHECK_FALSE(toldOnceHeld("dropped", {}));
   ask("dropped", "");
--- a/test/registry/late_model_announcer_test.cpp
+++ b/test/registry/late_model_announcer_test.cpp
@@ -18,17 +18,17 @@
   }
 };
 
-TEST(LateModelAnnouncerTest, nothingIsToldWhileNothingIsLate) {
+TEST(LateModelAnnouncerTest, nothingIsAnnouncedWhileNoModelIsLate) {
   CHECK_FALSE(announcer.due({}, now));
   CHECK_FALSE(announcer.due({}, now + 60s));
 }
 
-TEST(LateModelAnnouncerTest, whatPassesWithTimeIsNoChange) {
+TEST(LateModelAnnouncerTest, aTimeThatPassesAsExpectedIsNoChange) {
   CHECK_TRUE(announcer.due(late(18s), now));
   CHECK_FALSE(announcer.due(late(17s), now + 1s));
 }
 
-TEST(LateModelAnnouncerTest, anotherExpectedTimeIsTold) {
+TEST(LateModelAnnouncerTest, aChangedExpectedTimeIsAnnounced) {
   CHECK_TRUE(announcer.due(late(18s), now));
   CHECK_TRUE(announcer.due(late(21s), now + 1s));
 }
@@ -38,13 +38,13 @@
   CHECK_TRUE(announcer.due(late(17s, "other"), now + 1s));
 }
 
-TEST(LateModelAnnouncerTest, itIsToldAgainBeforeGatewaysForgetIt) {
+TEST(LateModelAnnouncerTest, itIsAnnouncedAgainBeforeGatewaysDropIt) {
   CHECK_TRUE(announcer.due(late(18s), now));
   now += kLateModelsLast / 2;
   CHECK_TRUE(announcer.due(late(18s - kLateModelsLast / 2), now));
 }
 
-TEST(LateModelAnnouncerTest, theEndIsToldOnce) {
+TEST(LateModelAnnouncerTest, theEndIsAnnouncedOnce) {
   CHECK_TRUE(announcer.due(late(18s), now));
   CHECK_TRUE(announcer.due({}, now + 1s));
   CHECK_FALSE(announcer.due({}, now + 10s));
--- a/test/registry/load_backoff_test.cpp
+++ b/test/registry/load_backoff_test.cpp
@@ -18,16 +18,16 @@
   base::Duration end() {
     const base::TimePoint orderedAt = now;
     now += 1s;
-    return backoff.workerEnded("m", orderedAt, now);
+    return backoff.recordWorkerEnd("m", orderedAt, now);
   }
 };
 
-TEST(LoadBackoffTest, oneEndCostsNothing) {
+TEST(LoadBackoffTest, oneWorkerEndCausesNoPause) {
   CHECK(end() == 0s);
   CHECK(backoff.postponed(now).empty());
 }
 
-TEST(LoadBackoffTest, eachFurtherOneDoublesThePauseUpToTheLongest) {
+TEST(LoadBackoffTest, eachFurtherEndDoublesThePauseUpToTheMaximum) {
   (void)end();
   for (const base::Duration expected : {2s, 4s, 8s, 16s, 32s, 32s}) {
     CHECK(end() == expected);
@@ -39,15 +39,15 @@
 
 TEST(LoadBackoffTest, workersThatEndTogetherCountOnce) {
   for (int worker = 0; worker < 10; ++worker) {
-    CHECK(backoff.workerEnded("m", now, now + 1s) == 0s);
+    CHECK(backoff.recordWorkerEnd("m", now, now + 1s) == 0s);
   }
   CHECK(backoff.postponed(now + 1s).empty());
 }
 
-TEST(LoadBackoffTest, aLoadThatEndsWellTakesThePauseAway) {
+TEST(LoadBackoffTest, aSuccessfulLoadResetsThePause) {
   (void)end();
   (void)end();
-  backoff.loaded("m");
+  backoff.recordSuccess("m");
   CHECK(backoff.postponed(now).empty());
   CHECK(end() == 0s);
 }
--- a/test/registry/load_concurrency_test.cpp
+++ b/test/registry/load_concurrency_test.cpp
@@ -13,31 +13,31 @@
 
   /// Observes loads that each start with the limit reached, at a store that serves `capacity` loads
   /// at full speed.
-  void play(double capacity, int count) {
+  void observeLoads(double capacity, int count) {
     for (int load = 0; load < count; ++load) {
-      const auto underWay = static_cast<double>(concurrency.limit());
+      const auto loadsInProgress = static_cast<double>(concurrency.limit());
       concurrency.observe(++loads, concurrency.limit(),
-                          underWay > capacity ? underWay / capacity : 1.0, true);
+                          loadsInProgress > capacity ? loadsInProgress / capacity : 1.0, true);
     }
   }
 };
 
 TEST(LoadConcurrencyTest, growsByOneWithEachLoadInTime) {
   const std::size_t first = concurrency.limit();
-  play(1000, static_cast<int>(first));
+  observeLoads(1000, static_cast<int>(first));
   CHECK_EQUAL(2 * first, concurrency.limit());
 }
 
-TEST(LoadConcurrencyTest, lateLoadsTellTheNumberOfTheStore) {
+TEST(LoadConcurrencyTest, lateLoadsRevealTheCapacityOfTheStore) {
   for (const double capacity : {3.0, 8.0, 25.0, 148.0}) {
     concurrency = {};
-    play(capacity, 400);
+    observeLoads(capacity, 400);
     CHECK_TRUE(static_cast<double>(concurrency.limit()) >= capacity - 1);
     CHECK_TRUE(static_cast<double>(concurrency.limit()) <= 1.2 * capacity + 1);
   }
 }
 
-TEST(LoadConcurrencyTest, oneLateLoadAloneTellsNothing) {
+TEST(LoadConcurrencyTest, aSingleLateLoadDoesNotLowerTheLimit) {
   const std::size_t first = concurrency.limit();
   concurrency.observe(++loads, first, 3.0, true);
   CHECK_EQUAL(first, concurrency.limit());
@@ -46,7 +46,7 @@
   CHECK_EQUAL(first + 1, concurrency.limit());
 }
 
-TEST(LoadConcurrencyTest, whatIsToldOfOneLateLoadAgainCountsOnce) {
+TEST(LoadConcurrencyTest, repeatedObservationsOfOneLateLoadCountOnce) {
   const std::size_t first = concurrency.limit();
   for (const double lateness : {1.3, 1.7, 2.2, 3.0}) {
     concurrency.observe(1, first, lateness, true);
@@ -54,28 +54,28 @@
   CHECK_EQUAL(first, concurrency.limit());
 }
 
-TEST(LoadConcurrencyTest, noMoreThanAMultipleOfWhatTheStoreWasSeenToTakeIsTried) {
+TEST(LoadConcurrencyTest, theLimitIsBoundedByAMultipleOfTheLoadsServedInTime) {
   for (int load = 0; load < 50; ++load) {
     concurrency.observe(++loads, 5, 1.0, true);
   }
   CHECK_EQUAL(10, concurrency.limit());
 }
 
-TEST(LoadConcurrencyTest, aStoreThatSlowsDownAndRecoversIsFollowed) {
-  play(20, 200);
+TEST(LoadConcurrencyTest, theLimitFollowsAStoreThatSlowsDownAndRecovers) {
+  observeLoads(20, 200);
   CHECK_TRUE(concurrency.limit() >= 19);
-  play(6, 20);
+  observeLoads(6, 20);
   CHECK_TRUE(concurrency.limit() <= 8);
-  play(20, 1500);
+  observeLoads(20, 1500);
   CHECK_TRUE(concurrency.limit() >= 16);
 }
 
-TEST(LoadConcurrencyTest, neverFallsBelowItsLeast) {
-  play(0.1, 50);
-  CHECK_EQUAL(static_cast<std::size_t>(LoadConcurrency::kLeastLimit), concurrency.limit());
+TEST(LoadConcurrencyTest, theLimitNeverFallsBelowItsMinimum) {
+  observeLoads(0.1, 50);
+  CHECK_EQUAL(static_cast<std::size_t>(LoadConcurrency::kMinLimit), concurrency.limit());
 }
 
-TEST(LoadConcurrencyTest, doesNotGrowWhileItIsNotUsed) {
+TEST(LoadConcurrencyTest, theLimitDoesNotGrowWhileItIsNotReached) {
   const std::size_t first = concurrency.limit();
   for (int load = 0; load < 50; ++load) {
     concurrency.observe(++loads, 1, 1.0, false);
@@ -83,12 +83,12 @@
   CHECK_EQUAL(first, concurrency.limit());
 }
 
-TEST(LoadConcurrencyTest, loadsThatBeganWithFewBesideThemAndAreLateDoNotUndoWhatWasShown) {
-  play(60, 200);
-  const std::size_t shown = concurrency.limit();
-  CHECK_TRUE(shown >= 50);
+TEST(LoadConcurrencyTest, lateLoadsWithFewOthersInProgressDoNotLowerTheLimit) {
+  observeLoads(60, 200);
+  const std::size_t grownLimit = concurrency.limit();
+  CHECK_TRUE(grownLimit >= 50);
   for (int load = 0; load < 5; ++load) {
     concurrency.observe(++loads, 2, 3.0, true);
   }
-  CHECK_EQUAL(shown, concurrency.limit());
+  CHECK_EQUAL(grownLimit, concurrency.limit());
 }
--- a/test/registry/order_turns_test.cpp
+++ b/test/registry/order_turns_test.cpp
@@ -38,12 +38,12 @@
   CHECK_TRUE(allowed == start + 10s + kRecordedOrderLifetime + kLease + kTurnMargin);
 }
 
-TEST(OrderTurnsTest, noOrderOfAFormerHolderIsLaterThanTheElection) {
+TEST(OrderTurnsTest, noOrderOfAPreviousHolderIsLaterThanTheElection) {
   turns.ordered({{"w"}}, start + 12s);
   CHECK_TRUE(turns.allowedAt({"w"}, start + 12s, kLease) == start + 12s + kLease + kTurnMargin);
 }
 
-TEST(OrderTurnsTest, whatWasNotSeenMayHaveHappenedUntilTheStartOrTheRestoredState) {
+TEST(OrderTurnsTest, unseenOrdersMayBeAsLateAsTheStartOrTheRestoredState) {
   CHECK_TRUE(turns.allowedAt({"w"}, start + 9s, kLease) >= start + kLease);
   turns.ordered({{"w"}}, start + 1s);
   turns.restored(start + 5s);
@@ -63,7 +63,7 @@
   CHECK_TRUE(recoveredOrderHolder(recovered) == base::ServerId{6});
 }
 
-TEST(OrderTurnsTest, afterARestartTheFormerHolderIsTheFirstToAskForVotes) {
+TEST(OrderTurnsTest, afterARestartThePreviousHolderIsTheFirstToRequestVotes) {
   const consensus::RaftOptions options;
   const base::Duration own = firstElectionTimeout(options, base::ServerId{6}, base::ServerId{6});
   CHECK_TRUE(own > options.electionTimeoutMin);
--- a/test/registry/placement_test.cpp
+++ b/test/registry/placement_test.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr double kRoom = 100;
+constexpr double kWeightsMegabytes = 100;
 
 catalog::EngineSpec engineOf(std::initializer_list<const char*> models) {
   catalog::EngineSpec engine;
   engine.slots = 64;
-  engine.weightsMegabytes = kRoom;
+  engine.weightsMegabytes = kWeightsMegabytes;
   engine.adapterSlots = 2;
   engine.storeLoadsPerSecond = 2;
   catalog::ModelSpec model;
@@ -40,14 +40,14 @@
   StoreScheduler store;
   DemandBook demand;
 
-  void want(const char* model, const char* adapter, std::uint32_t waiting, std::uint32_t arrivals,
-            std::uint64_t gateway = 1) {
+  void reportDemand(const char* model, const char* adapter, std::uint32_t waiting,
+                    std::uint32_t arrivals, std::uint64_t gateway = 1) {
     DemandUpdate update;
     update.demands.push_back({"svc", model, adapter, waiting, arrivals});
     demand.update({gateway}, update, now);
   }
   /// Reports requests that run or are queued at workers, as from one gateway.
-  void load(std::initializer_list<WorkerLoad> loads, std::uint64_t gateway = 100) {
+  void reportLoads(std::initializer_list<WorkerLoad> loads, std::uint64_t gateway = 100) {
     DemandUpdate update;
     update.loads = loads;
     demand.update({gateway}, update, now);
@@ -63,18 +63,18 @@
   CHECK_TRUE(plan(engineOf({"a"}), {workerWith("w", {})}).empty());
 }
 
-TEST(PlacementTest, aWaitedForModelIsLoadedWhereItIsQuickest) {
+TEST(PlacementTest, aRequestedModelIsLoadedWhereItIsFastest) {
   PlacementWorker near = workerWith("near", {});
   near.holdings.inMemory = {"a"};
-  want("a", "", 1, 1);
+  reportDemand("a", "", 1, 1);
   const auto steps = plan(engineOf({"a"}), {workerWith("far", {}), near});
   CHECK_EQUAL(1, steps.size());
   CHECK_TRUE((steps[0] == PlacementStep{{"near"}, OrderOperation::load, "a", "", false}));
 }
 
-TEST(PlacementTest, whatComesFromTheStoreIsToldToBeLate) {
-  want("a", "", 1, 1);
-  want("b", "", 1, 1, 2);
+TEST(PlacementTest, modelsLoadedFromTheStoreAreReportedAsLate) {
+  reportDemand("a", "", 1, 1);
+  reportDemand("b", "", 1, 1, 2);
   PlacementWorker near = workerWith("near", {});
   near.holdings.onDisk = {"b"};
   plan(engineOf({"a", "b"}), {near, workerWith("far", {})});
@@ -84,19 +84,19 @@
 }
 
 /// The callers were notified and no longer wait; the model is loaded for the next requests.
-TEST(PlacementTest, aLateModelIsWantedThoughNobodyWaitsForItAnyMore) {
-  store.setPatience(20s, 35s);
-  want("a", "", 1, 1);
-  want("b", "", 1, 3, 2);
+TEST(PlacementTest, aLateModelIsLoadedThoughNoRequestWaitsAnyMore) {
+  store.setLongestTimes(20s, 35s);
+  reportDemand("a", "", 1, 1);
+  reportDemand("b", "", 1, 3, 2);
   const auto first = plan(engineOf({"a", "b"}), {workerWith("w1", {}), workerWith("w2", {})});
   CHECK_EQUAL(1, first.size());
   STRCMP_EQUAL("b", first[0].model.c_str());
   CHECK_EQUAL(2, policy.outlook().size());
-  want("a", "", 0, 0);
-  want("b", "", 0, 0, 2);
+  reportDemand("a", "", 0, 0);
+  reportDemand("b", "", 0, 0, 2);
   PlacementWorker served = workerWith("w1", {"b"});
   const base::TimePoint later = now + 4s;
-  store.ended(first[0].worker, later);
+  store.recordEnd(first[0].worker, later);
   store.setLimit(2, {}, later);
   const auto second =
       policy.plan(engineOf({"a", "b"}), {served, workerWith("w2", {})}, demand, store, later);
@@ -106,7 +106,7 @@
 
 TEST(PlacementTest, aBurstAtManyGatewaysLoadsOneReplica) {
   for (std::uint64_t gateway = 1; gateway <= 20; ++gateway) {
-    want("a", "", 5, 1, gateway);
+    reportDemand("a", "", 5, 1, gateway);
   }
   PlacementWorker loading = workerWith("w1", {});
   const auto first = plan(engineOf({"a"}), {loading, workerWith("w2", {})});
@@ -115,8 +115,8 @@
   CHECK_TRUE(plan(engineOf({"a"}), {loading, workerWith("w2", {})}).empty());
 }
 
-TEST(PlacementTest, aSurplusReplicaMakesRoomBeforeALastOne) {
-  want("new", "", 1, 1);
+TEST(PlacementTest, aSurplusReplicaIsUnloadedBeforeALastOne) {
+  reportDemand("new", "", 1, 1);
   const auto steps = plan(engineOf({"new", "busy", "rare1", "rare2"}),
                           {workerWith("w1", {"busy", "rare1"}), workerWith("w2", {"busy", "rare2"}),
                            workerWith("w3", {"busy", "busy"})});
@@ -125,11 +125,11 @@
   STRCMP_EQUAL("busy", steps[0].model.c_str());
 }
 
-TEST(PlacementTest, aReplicaThatIsStillComingDoesNotMakeTheServingOneSurplus) {
-  want("new", "", 1, 1, 1);
-  want("hot", "", 1, 20, 2);
-  want("rare1", "", 0, 2, 3);
-  want("rare2", "", 0, 2, 4);
+TEST(PlacementTest, aReplicaBeingLoadedDoesNotMakeTheServingOneSurplus) {
+  reportDemand("new", "", 1, 1, 1);
+  reportDemand("hot", "", 1, 20, 2);
+  reportDemand("rare1", "", 0, 2, 3);
+  reportDemand("rare2", "", 0, 2, 4);
   PlacementWorker coming = workerWith("w2", {"rare2"});
   coming.loadingModel = "hot";
   const auto steps = plan(engineOf({"new", "hot", "rare1", "rare2"}),
@@ -140,9 +140,9 @@
   CHECK_EQUAL(1, steps.size());
 }
 
-TEST(PlacementTest, whatIsWaitedForNeverMakesRoom) {
-  want("new", "", 1, 1);
-  want("other", "", 1, 1, 2);
+TEST(PlacementTest, aModelWithWaitingRequestsIsNeverUnloaded) {
+  reportDemand("new", "", 1, 1);
+  reportDemand("other", "", 1, 1, 2);
   CHECK_TRUE(plan(engineOf({"new", "other"}), {[] {
                     PlacementWorker full = workerWith("w", {"other", "other"});
                     return full;
@@ -151,30 +151,30 @@
 }
 
 TEST(PlacementTest, loadsFromTheStoreKeepItsRate) {
-  want("a", "", 1, 1, 1);
-  want("b", "", 1, 1, 2);
-  want("c", "", 1, 1, 3);
+  reportDemand("a", "", 1, 1, 1);
+  reportDemand("b", "", 1, 1, 2);
+  reportDemand("c", "", 1, 1, 3);
   const auto steps = plan(engineOf({"a", "b", "c"}),
                           {workerWith("w1", {}), workerWith("w2", {}), workerWith("w3", {})});
   CHECK_EQUAL(1, steps.size());
 }
 
 TEST(PlacementTest, aBusyModelGetsASecondReplica) {
-  want("a", "", 0, 50);
+  reportDemand("a", "", 0, 50);
   const auto steps = plan(engineOf({"a"}), {workerWith("w1", {"a"}), workerWith("w2", {})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("w2", steps[0].worker.value.c_str());
 }
 
 TEST(PlacementTest, anAdapterGoesWhereItsModelIs) {
-  want("a", "a3", 1, 1);
+  reportDemand("a", "a3", 1, 1);
   const auto steps = plan(engineOf({"a", "b"}), {workerWith("w1", {"b"}), workerWith("w2", {"a"})});
   CHECK_EQUAL(1, steps.size());
   CHECK_TRUE((steps[0] == PlacementStep{{"w2"}, OrderOperation::load, "a", "a3", false}));
 }
 
-TEST(PlacementTest, adapterPlacesAreNotExceeded) {
-  want("a", "a3", 1, 1);
+TEST(PlacementTest, adapterSlotsAreNotExceeded) {
+  reportDemand("a", "a3", 1, 1);
   PlacementWorker full = workerWith("w", {"a"});
   full.holdings.models[0].adapters = {"a1", "a2"};
   const auto steps = plan(engineOf({"a"}), {full});
@@ -182,18 +182,18 @@
   CHECK_TRUE(steps[0].operation == OrderOperation::unload);
 }
 
-TEST(PlacementTest, adaptersThatAreWaitedForOrNewStay) {
-  want("a", "a3", 1, 1, 1);
-  want("a", "a1", 1, 1, 2);
+TEST(PlacementTest, requestedAndRecentAdaptersAreNotEvicted) {
+  reportDemand("a", "a3", 1, 1, 1);
+  reportDemand("a", "a1", 1, 1, 2);
   PlacementWorker full = workerWith("w", {"a"});
   full.holdings.models[0].adapters = {"a1", "a2"};
   full.recentAdapters = {{"a", "a2"}};
   CHECK_TRUE(plan(engineOf({"a"}), {full}).empty());
 }
 
-TEST(PlacementTest, anAdapterIsOrderedBeforeTheWakeThatWouldHoldItUp) {
-  want("x", "", 1, 1, 1);
-  want("a", "a1", 1, 1, 2);
+TEST(PlacementTest, anAdapterIsOrderedBeforeAModelLoadThatWouldDelayIt) {
+  reportDemand("x", "", 1, 1, 1);
+  reportDemand("a", "a1", 1, 1, 2);
   std::vector<PlacementStep> steps = plan(engineOf({"a", "x"}), {workerWith("w1", {"a"})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("a1", steps[0].adapter.c_str());
@@ -204,22 +204,22 @@
   STRCMP_EQUAL("x", steps[0].model.c_str());
 }
 
-TEST(PlacementTest, aModelThatWaitsForTheStoreKeepsNoWorkerFromALoadFromItsDisk) {
-  want("cold1", "", 5, 9, 1);
-  want("cold2", "", 5, 9, 2);
-  want("onDisk", "", 1, 1, 3);
+TEST(PlacementTest, aModelWaitingForTheStoreDoesNotDelayALoadFromDisk) {
+  reportDemand("cold1", "", 5, 9, 1);
+  reportDemand("cold2", "", 5, 9, 2);
+  reportDemand("onDisk", "", 1, 1, 3);
   PlacementWorker worker = workerWith("w", {});
   worker.holdings.onDisk = {"onDisk"};
   const catalog::EngineSpec engine = engineOf({"cold1", "cold2", "onDisk"});
   store.setLimit(engine.storeLoadsPerSecond, {}, now);
-  store.ordered({"elsewhere"}, 4s, now);
+  store.recordOrdered({"elsewhere"}, 4s, now);
   const auto steps = plan(engine, {worker});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("onDisk", steps[0].model.c_str());
 }
 
 TEST(PlacementTest, aBusyWorkerWithACopyIsWaitedForRatherThanTheStore) {
-  want("a", "", 1, 1);
+  reportDemand("a", "", 1, 1);
   PlacementWorker busy = workerWith("busy", {});
   busy.holdings.onDisk = {"a"};
   busy.canTakeOrders = false;
@@ -232,7 +232,7 @@
   STRCMP_EQUAL("idle", steps[0].worker.value.c_str());
 }
 
-TEST(PlacementTest, aModelWhoseCallersCanWaitMakesRoomBeforeAnUrgentOne) {
+TEST(PlacementTest, aModelWithALongTargetLatencyIsUnloadedBeforeAnUrgentOne) {
   DemandUpdate update;
   update.demands.push_back({"svc", "patient", "", 0, 4, 0, 5s});
   update.demands.push_back({"svc", "urgent", "", 0, 2, 1, 400ms});
@@ -245,8 +245,8 @@
   STRCMP_EQUAL("patient", steps[0].model.c_str());
 }
 
-TEST(PlacementTest, aModelThatNoDiskHasStaysBeforeOneThatCanComeBack) {
-  want("new", "", 1, 1);
+TEST(PlacementTest, aModelOnNoDiskIsKeptOverOneThatCanBeReloaded) {
+  reportDemand("new", "", 1, 1);
   PlacementWorker worker = workerWith("w", {"onlyHere", "copied"});
   worker.holdings.onDisk = {"copied", "new"};
   const auto steps = plan(engineOf({"new", "copied", "onlyHere"}), {worker});
@@ -254,8 +254,8 @@
   STRCMP_EQUAL("copied", steps[0].model.c_str());
 }
 
-TEST(PlacementTest, theRoomThatWasMadeIsUsedWhereItWasMade) {
-  want("new", "", 1, 1);
+TEST(PlacementTest, aModelWaitsForTheWorkerWhereCapacityIsBeingFreed) {
+  reportDemand("new", "", 1, 1);
   PlacementWorker full = workerWith("w1", {"x", "y"});
   full.holdings.onDisk = {"x", "y", "new"};
   PlacementWorker other = workerWith("w2", {"z", "v"});
@@ -271,7 +271,7 @@
   CHECK_TRUE(plan(engine, {full, other}).empty());
 }
 
-TEST(PlacementTest, aModelThatIsInUseIsWaitedForAndKeepsItsWorkerFromNothing) {
+TEST(PlacementTest, aModelInUseIsNotUnloadedAndDoesNotBlockItsWorker) {
   const catalog::EngineSpec engine = engineOf({"new", "used1", "used2"});
   DemandUpdate update;
   update.demands.push_back({"svc", "new", "", 1, 1});
@@ -290,24 +290,24 @@
 TEST(PlacementTest, aModelWithMoreRequestsThanSlotsComesBeforeAColdOneAtTheStore) {
   catalog::EngineSpec engine = engineOf({"hot", "rare"});
   engine.slots = 4;
-  want("hot", "", 0, 50, 1);
-  want("rare", "", 1, 1, 2);
+  reportDemand("hot", "", 0, 50, 1);
+  reportDemand("rare", "", 1, 1, 2);
   PlacementWorker full = workerWith("full", {"hot"});
   full.running = 16;
-  load({{{"full"}, "hot", 16}});  // The store allows one load now.
+  reportLoads({{{"full"}, "hot", 16}});  // The store allows one load now.
   const auto steps = plan(engine, {full, workerWith("w1", {}), workerWith("w2", {})});
   CHECK_EQUAL(1, steps.size());
   STRCMP_EQUAL("hot", steps[0].model.c_str());
 }
 
-TEST(PlacementTest, aColdModelComesFirstOnceReplicasForTheQueueAreOnTheirWay) {
+TEST(PlacementTest, aColdModelComesFirstOnceReplicasForTheQueueAreBeingLoaded) {
   catalog::EngineSpec engine = engineOf({"hot", "rare"});
   engine.slots = 4;
-  want("hot", "", 0, 50, 1);
-  want("rare", "", 1, 1, 2);
+  reportDemand("hot", "", 0, 50, 1);
+  reportDemand("rare", "", 1, 1, 2);
   PlacementWorker full = workerWith("full", {"hot"});
   full.running = 7;
-  load({{{"full"}, "hot", 7}});
+  reportLoads({{{"full"}, "hot", 7}});
   PlacementWorker coming = workerWith("coming", {});
   coming.loadingModel = "hot";
   coming.canTakeOrders = false;
@@ -320,10 +320,10 @@
 TEST(PlacementTest, aModelWithMoreRequestsThanSlotsWaitsForNoBusyWorker) {
   catalog::EngineSpec engine = engineOf({"hot", "x"});
   engine.slots = 4;
-  want("hot", "", 0, 50);
+  reportDemand("hot", "", 0, 50);
   PlacementWorker full = workerWith("full", {"hot"});
   full.running = 16;
-  load({{{"full"}, "hot", 16}});
+  reportLoads({{{"full"}, "hot", 16}});
   PlacementWorker busy = workerWith("busy", {});
   busy.holdings.onDisk = {"hot"};
   busy.canTakeOrders = false;
@@ -334,20 +334,20 @@
   STRCMP_EQUAL("idle", steps[0].worker.value.c_str());
 }
 
-TEST(PlacementTest, aReplicaWithoutWhichRequestsWouldQueueMakesNoRoomForAColdModel) {
+TEST(PlacementTest, aReplicaThatPreventsQueueingIsNotUnloadedForAColdModel) {
   catalog::EngineSpec engine = engineOf({"hot", "other", "idle1", "idle2", "new"});
   engine.slots = 4;
   engine.models.back().storeLoadTime = 20s;
-  want("new", "", 1, 1, 1);
-  want("hot", "", 0, 50, 2);
-  want("other", "", 0, 50, 3);
+  reportDemand("new", "", 1, 1, 1);
+  reportDemand("hot", "", 0, 50, 2);
+  reportDemand("other", "", 0, 50, 3);
   PlacementWorker first = workerWith("first", {"hot", "other"});
   first.running = 8;
   PlacementWorker second = workerWith("second", {"hot", "other"});
   second.holdings.onDisk = {"new"};
   PlacementWorker third = workerWith("third", {"hot", "other"});
   PlacementWorker fourth = workerWith("fourth", {"idle1", "idle2"});
-  load({{{"first"}, "hot", 12}, {{"first"}, "other", 12}});
+  reportLoads({{{"first"}, "hot", 12}, {{"first"}, "other", 12}});
   const auto steps = plan(engine, {first, second, third, fourth});
   for (const PlacementStep& step : steps) {
     STRCMP_EQUAL("fourth", step.worker.value.c_str());
--- a/test/registry/planning_pool_test.cpp
+++ b/test/registry/planning_pool_test.cpp
@@ -33,21 +33,23 @@
   }
 };
 
-TEST(PlanningPoolTest, itIsSmallWhateverTheFleet) {
+TEST(PlanningPoolTest, poolSizeIsIndependentOfTheFleetSize) {
   CHECK_EQUAL(kPlannedTargets, pool().workers.size());
 }
 
-TEST(PlanningPoolTest, itIsTheSameFromPlanToPlan) { CHECK_TRUE(pool().targets == pool().targets); }
+TEST(PlanningPoolTest, poolIsStableBetweenPlans) {
+  CHECK_TRUE(pool().loadTargets == pool().loadTargets);
+}
 
-TEST(PlanningPoolTest, busyWorkersAreInIt) {
+TEST(PlanningPoolTest, busyWorkersAreIncluded) {
   DemandUpdate update;
   update.loads.push_back({id(4321), "common", 2});
   demand.update({1}, update, now);
   CHECK_EQUAL(1, pool().workers.count(id(4321)));
-  CHECK_EQUAL(0, pool().targets.count(id(4321)));
+  CHECK_EQUAL(0, pool().loadTargets.count(id(4321)));
 }
 
-TEST(PlanningPoolTest, holdersOfWhatIsAskedForAreInItAndTheRestIsCounted) {
+TEST(PlanningPoolTest, holdersOfRequestedModelsAreIncludedAndTheRestIsCounted) {
   ask("rare", "", 0);
   const PlanningPool chosen = pool();
   std::size_t holders = 0;
@@ -55,24 +57,24 @@
     holders += chosen.workers.count(id(number));
   }
   CHECK_TRUE(holders >= kPlannedHolders);
-  CHECK_EQUAL(10, holders + chosen.outside.at("rare"));
+  CHECK_EQUAL(10, holders + chosen.otherHolders.at("rare"));
 }
 
-TEST(PlanningPoolTest, holdersThatMayLoadAnAdapterAreNamed) {
+TEST(PlanningPoolTest, holdersThatMayLoadAnAdapterAreListed) {
   ask("rare", "a1", 1);
-  CHECK_EQUAL(kPlannedHolders, pool().adapterHolders.size());
+  CHECK_EQUAL(kPlannedHolders, pool().adapterTargets.size());
 }
 
 /// Guards against loading an adapter again that a worker outside the targets already has.
-TEST(PlanningPoolTest, whoHasTheAdapterIsInIt) {
+TEST(PlanningPoolTest, holdersOfTheAdapterAreIncluded) {
   index.set(id(3999), "svc", {{"common", 1, {"a1"}}});
   ask("common", "a1", 1);
   CHECK_EQUAL(1, pool().workers.count(id(3999)));
 }
 
-TEST(PlanningPoolTest, whatNobodyHasAskedForLatelyIsLeftOut) {
+TEST(PlanningPoolTest, modelsWithoutRecentRequestsAreLeftOut) {
   ask("rare", "", 0);
-  now += kPlannedSince + 1s;
+  now += kPlannedDemandAge + 1s;
   CHECK_EQUAL(kPlannedTargets, pool().workers.size());
 }
 
--- a/test/registry/slow_store_test.cpp
+++ b/test/registry/slow_store_test.cpp
@@ -65,7 +65,7 @@
   std::uint64_t lastGateway = 0;
 };
 
-TEST(SlowStoreTest, theModelThatMoreAskedForInVainIsLoadedFirst) {
+TEST(SlowStoreTest, theModelWithMoreUnservedRequestsIsLoadedFirst) {
   for (int request = 0; request < 5; ++request) {
     report("often", 0, 1);
     now += 2s;
@@ -78,7 +78,7 @@
 }
 
 /// Callers don't retry after an hour, so requests that old must not count as unserved.
-TEST(SlowStoreTest, requestsOfLongAgoDoNotCount) {
+TEST(SlowStoreTest, oldRequestsDoNotCountAsUnserved) {
   report("long-ago", 0, 50);
   now += 60min;
   report("long-ago", 1, 1);
@@ -97,7 +97,7 @@
   STRCMP_EQUAL("many", steps[0].model.c_str());
 }
 
-TEST(SlowStoreTest, anAnswerEndsWhatWasAskedInVain) {
+TEST(SlowStoreTest, anAnswerResetsTheUnservedRequests) {
   report("answered", 0, 9);
   report("answered", 0, 0, 1);
   report("answered", 1, 1);
@@ -109,7 +109,7 @@
 
 /// Guards against callers that wait for a model which the store's rate limit delays until long
 /// after they have left.
-TEST(SlowStoreTest, theRateOfTheStoreTellsWhenAModelComes) {
+TEST(SlowStoreTest, theStoreRateDeterminesWhenAModelIsAvailable) {
   const auto engine = engineOf({"m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"});
   for (const catalog::ModelSpec& model : engine.models) {
     report(model.name.c_str(), 1, 1);
@@ -124,7 +124,7 @@
   CHECK_TRUE(last < 8s);
 }
 
-TEST(SlowStoreTest, whatWasLoadedForCallersStaysUntilOneIsAnswered) {
+TEST(SlowStoreTest, aLoadedModelIsKeptUntilARequestIsAnswered) {
   report("fresh", 0, 3);
   report("used", 0, 3);
   report("used", 0, 0, 1);
@@ -136,7 +136,7 @@
   CHECK(steps[0].model != "fresh");
 }
 
-TEST(SlowStoreTest, whatNobodyAsksForAnyMoreMakesRoomUnanswered) {
+TEST(SlowStoreTest, anUnservedModelWithoutRecentRequestsIsUnloaded) {
   report("left", 0, 3);
   now += 15s;
   for (const char* model : {"used1", "used2"}) {
@@ -151,7 +151,7 @@
 
 /// Other models wait for the store, so a model on a busy worker's disk waits for that worker, as
 /// long as its wait costs less than the delay of the others.
-TEST(SlowStoreTest, whatADiskHasIsNotTakenFromTheStoreWhileOthersWaitForIt) {
+TEST(SlowStoreTest, aModelOnADiskIsNotLoadedFromTheStoreWhileOthersWaitForIt) {
   const catalog::EngineSpec engine = engineOf({"copied", "cold1", "cold2", "cold3", "cold4", "x"});
   PlacementWorker busy = workerWithCopies("busy", {});
   busy.holdings.onDisk = {"copied"};
@@ -163,7 +163,7 @@
   }
   const std::vector<PlacementWorker> workers = {busy, workerWithCopies("idle", {})};
   store.setLimit(engine.storeLoadsPerSecond, {}, now);
-  store.ordered({"elsewhere"}, 900ms, now);
+  store.recordOrdered({"elsewhere"}, 900ms, now);
   CHECK_TRUE(plan(engine, workers).empty());
   now += 800ms;
   report("copied", 9, 9);
@@ -173,7 +173,7 @@
 }
 
 /// No other model waits for the store.
-TEST(SlowStoreTest, whatADiskHasIsTakenFromAnIdleStoreIfThatIsSooner) {
+TEST(SlowStoreTest, aModelOnADiskIsLoadedFromAnIdleStoreIfThatIsSooner) {
   const catalog::EngineSpec engine = engineOf({"copied", "x"});
   PlacementWorker busy = workerWithCopies("busy", {});
   busy.holdings.onDisk = {"copied"};
--- a/test/registry/store_rate_test.cpp
+++ b/test/registry/store_rate_test.cpp
@@ -40,7 +40,7 @@
     for (; now < end; now += 20ms) {
       store->setLimit(kPerSecond, kWindow, now);
       while (store->allows()) {
-        store->taken();
+        store->recordStart();
         begun.push_back(now);
         ++count;
       }
@@ -55,7 +55,7 @@
   }
 };
 
-TEST(StoreRateTest, noWindowHoldsMoreThanAllowedAfterARest) {
+TEST(StoreRateTest, noWindowHoldsMoreThanAllowedAfterAPause) {
   store->setLimit(kPerSecond, kWindow, now);
   now += 60s;
   std::size_t most = 0;
@@ -78,7 +78,7 @@
   for (const base::TimePoint end = now + 20s; now < end; now += 1ms) {
     store->setLimit(kLargeRate, kWindow, now);
     while (store->allows()) {
-      store->taken();
+      store->recordStart();
       begun.insert(now + random.between(base::Duration::zero(), base::Duration(50ms)));
     }
   }
@@ -89,7 +89,7 @@
   }
 }
 
-TEST(StoreRateTest, severalBeginAtOnceAfterARest) {
+TEST(StoreRateTest, severalLoadsMayStartAtOnceAfterAPause) {
   store->setLimit(kPerSecond, kWindow, now);
   now += 10s;
   CHECK_EQUAL(3, run(20ms));
@@ -141,7 +141,7 @@
   CHECK_TRUE(most > kMostInWindow);
 }
 
-TEST(StoreRateTest, theWaitIsThatOfTheTokensThatAreMissing) {
+TEST(StoreRateTest, theWaitCoversTheMissingTokens) {
   CHECK_EQUAL(1, run(20ms));
   const base::Duration first = store->wait(0);
   CHECK_TRUE(first > 300ms && first <= 1s / kPerSecond);
@@ -151,11 +151,11 @@
   CHECK_TRUE(store->allows());
 }
 
-TEST(StoreRateTest, ordersWithoutAnAnswerKeepTheBurst) {
+TEST(StoreRateTest, ordersWithAnUnclearOutcomeReserveTheBurst) {
   store->setLimit(kPerSecond, kWindow, now);
   now += 10s;
   for (int count = 0; count < 5; ++count) {
-    store->unclear(now);
+    store->recordUnclear(now);
   }
   CHECK_EQUAL(1, run(20ms));
   now += 12s;
@@ -166,6 +166,6 @@
   store->setLimit(0, kWindow, now);
   for (int count = 0; count < 100; ++count) {
     CHECK_TRUE(store->allows());
-    store->taken();
+    store->recordStart();
   }
 }
--- a/test/registry/worker_limit_book_test.cpp
+++ b/test/registry/worker_limit_book_test.cpp
@@ -45,7 +45,7 @@
   CHECK(sum >= 7);
 }
 
-TEST(WorkerLimitBookTest, grantedAreWholeRequests) {
+TEST(WorkerLimitBookTest, onlyWholeRequestsAreGranted) {
   named(2);
   now += 700ms;
   DOUBLES_EQUAL(1, granted(1, 3), 0.001);
@@ -63,7 +63,7 @@
 }
 
 /// A report of a limit may arrive after its end, because its gateway was slow or disconnected.
-TEST(WorkerLimitBookTest, whatWasNamedBeforeTheEndBeginsNothing) {
+TEST(WorkerLimitBookTest, aLimitStatedBeforeItsEndHasNoEffect) {
   named(2);
   now += 1s;
   notNamed(500ms);
@@ -88,7 +88,7 @@
 }
 
 /// The end of such a limit can only be detected by a request.
-TEST(WorkerLimitBookTest, ofALimitOfZeroARequestIsGrantedNowAndThen) {
+TEST(WorkerLimitBookTest, aLimitOfZeroStillGrantsOccasionalRequests) {
   named(0);
   double sum = 0;
   for (int step = 0; step < 400; ++step) {
@@ -98,17 +98,17 @@
   CHECK(sum >= 9 && sum <= 12);
 }
 
-TEST(WorkerLimitBookTest, nothingIsGrantedAheadWhileOthersAreShort) {
+TEST(WorkerLimitBookTest, nothingIsGrantedInAdvanceWhileTheLimitIsExceeded) {
   named(1);
   now += 100ms;
   DOUBLES_EQUAL(0, granted(1, 1), 0.001);
-  CHECK_TRUE(book.wasShort(worker, now));
+  CHECK_TRUE(book.wasOverLimit(worker, now));
   now += 1500ms;
   DOUBLES_EQUAL(0, granted(2, 0, 1), 0.001);
   DOUBLES_EQUAL(1, granted(3, 1), 0.001);
 }
 
-TEST(WorkerLimitBookTest, aLimitEndsWithTheLifeOfItsWorker) {
+TEST(WorkerLimitBookTest, aLimitEndsWithTheIncarnationOfItsWorker) {
   named(1);
   book.forget(worker);
   CHECK_FALSE(book.limitOf(worker).has_value());
--- a/test/registry/worker_status_test.cpp
+++ b/test/registry/worker_status_test.cpp
@@ -48,7 +48,7 @@
   CHECK_FALSE(status.reportFresh);
 }
 
-TEST(WorkerStatusTest, aHeartbeatThatTellsTheEndOfAnOrderIsTaken) {
+TEST(WorkerStatusTest, aHeartbeatThatReportsTheEndOfAnOrderIsApplied) {
   status.takeReport(report(2, {{"a", 1, {}}}, false), start);
   status.modelOrdered(load("b"), start, start + 9s, start + 10s);
   beat(5, {{"a", 1, {}}, {"b", 1, {}}});
@@ -67,7 +67,7 @@
   CHECK_FALSE(status.reportFresh);
 }
 
-TEST(WorkerStatusTest, aReportThatIsLateEnoughIsTheTruthWhateverWasCounted) {
+TEST(WorkerStatusTest, aReportAfterTheLastOrderReplacesTheOrderCount) {
   status.orderCount = 21;
   status.orderFinishedAt = start;
   status.takeReport(report(19, {}, false), start + 1s);
@@ -75,7 +75,7 @@
   CHECK_EQUAL(19, status.orderCount);
 }
 
-TEST(WorkerStatusTest, adaptersOnTheirWayTakeTheirPlaces) {
+TEST(WorkerStatusTest, pendingAdaptersCountAsHeld) {
   WorkerReport made = report(1, {{"a", 1, {}}}, false);
   made.pendingAdapters = {"a/a7"};
   status.takeReport(made, start);
