--- a/test/registry/worker_limit_book_test.cpp
+++ b/test/registry/worker_limit_book_test.cpp
@@ -1,4 +1,4 @@
-/// The limits that workers name, as the leader knows them, and what it grants of them.
+/// Tests how the leader tracks the limits of workers and grants shares of them.
 
 #include "registry/worker_limit_book.h"
 
@@ -45,7 +45,7 @@
   CHECK(sum >= 7);
 }
 
-TEST(WorkerLimitBookTest, grantedAreWholeRequests) {
+TEST(WorkerLimitBookTest, onlyWholeRequestsAreGranted) {
   named(2);
   now += 700ms;
   DOUBLES_EQUAL(1, granted(1, 3), 0.001);
@@ -62,8 +62,8 @@
   CHECK_EQUAL(1, answer.unlimited.size());
 }
 
-/// Another gateway held it up, or was cut off.
-TEST(WorkerLimitBookTest, whatWasNamedBeforeTheEndBeginsNothing) {
+/// A report of a limit may arrive after its end, because its gateway was slow or disconnected.
+TEST(WorkerLimitBookTest, aLimitStatedBeforeItsEndHasNoEffect) {
   named(2);
   now += 1s;
   notNamed(500ms);
@@ -87,8 +87,8 @@
   CHECK(granted(1, 50) <= WorkerLimitBook::capacityOf(1));
 }
 
-/// Somebody has to hear of its end.
-TEST(WorkerLimitBookTest, ofALimitOfZeroARequestIsGrantedNowAndThen) {
+/// The end of such a limit can only be detected by a request.
+TEST(WorkerLimitBookTest, aLimitOfZeroStillGrantsOccasionalRequests) {
   named(0);
   double sum = 0;
   for (int step = 0; step < 400; ++step) {
@@ -98,17 +98,17 @@
   CHECK(sum >= 9 && sum <= 12);
 }
 
-TEST(WorkerLimitBookTest, nothingIsGrantedAheadWhileOthersAreShort) {
+TEST(WorkerLimitBookTest, nothingIsGrantedInAdvanceWhileTheLimitIsExceeded) {
   named(1);
   now += 100ms;
   DOUBLES_EQUAL(0, granted(1, 1), 0.001);
-  CHECK_TRUE(book.wasShort(worker, now));
+  CHECK_TRUE(book.wasOverLimit(worker, now));
   now += 1500ms;
   DOUBLES_EQUAL(0, granted(2, 0, 1), 0.001);
   DOUBLES_EQUAL(1, granted(3, 1), 0.001);
 }
 
-TEST(WorkerLimitBookTest, aLimitEndsWithTheLifeOfItsWorker) {
+TEST(WorkerLimitBookTest, aLimitEndsWithTheIncarnationOfItsWorker) {
   named(1);
   book.forget(worker);
   CHECK_FALSE(book.limitOf(worker).has_value());
