--- a/include/walnut/catalog/document.h
+++ b/include/walnut/catalog/document.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// The operator's declared document: routes, services, the models that services serve, and limits.
-/// A document is declared as a whole under the operator's own version; the highest version holds.
+/// The configuration document that an operator declares: routes, services, the models that services
+/// serve, limits and tenants. A document is always replaced as a whole; the operator assigns its
+/// version, and the highest version takes effect.
 
 #include <cereal/types/optional.hpp>
 #include <cereal/types/string.hpp>
@@ -16,9 +17,10 @@
 
 namespace walnut::catalog {
 
-/// Whether a request of a route may run more than once.
+/// Kind of the requests of a route; decides whether a request may run more than once.
 enum class RouteKind : std::uint8_t { idempotent = 0, nonIdempotent = 1, streaming = 2 };
 
+/// A service and its share of the traffic of a route.
 struct WeightedService {
   std::string service;
   double weight = 1.0;
@@ -29,23 +31,23 @@
   }
 };
 
-/// Requests of one host whose path begins with a prefix, and what serves them.
+/// Maps the requests of one host whose path begins with a prefix to the services that serve them.
 struct Route {
   std::string name;
   std::string host;
   std::string pathPrefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::nonIdempotent;
-  base::Duration timeout{0};        ///< Longest that a request is held.
-  base::Duration targetLatency{0};  ///< To the answer; of streams, to the first event.
-  base::Duration targetGap{0};      ///< Longest pause between events of a stream.
+  base::Duration timeout{0};        ///< Longest time to answer a request.
+  base::Duration targetLatency{0};  ///< Until the answer; for streams, until the first event.
+  base::Duration targetGap{0};      ///< Longest intended pause between two events of a stream.
   std::uint32_t priority = 0;       ///< 0 is the most urgent.
-  std::uint32_t maxAttempts = 1;    ///< Workers that one request may run on.
-  bool resumable = false;           ///< A stream may go on at another worker.
+  std::uint32_t maxAttempts = 1;    ///< Number of workers that one request may be tried on.
+  bool resumable = false;           ///< A broken stream may be resumed on another worker.
   bool sticky = false;
-  bool open = false;  ///< Its requests need no key, whatever tenants there are.
+  bool open = false;  ///< Requests need no tenant key, even if tenants are declared.
   std::vector<WeightedService> services;
 
-  /// @return true if a request may be run again after it may have run.
+  /// @return true if a request may be retried although an earlier attempt may have run.
   bool repeatable() const {
     return kind == RouteKind::idempotent || (kind == RouteKind::streaming && resumable);
   }
@@ -62,13 +64,13 @@
 struct ModelSpec {
   std::string name;
   double weightsMegabytes = 0;
-  base::Duration storeLoadTime{0};   ///< From the weight store.
-  base::Duration diskLoadTime{0};    ///< From the worker's disk.
-  base::Duration memoryLoadTime{0};  ///< From the worker's host memory.
+  base::Duration storeLoadTime{0};   ///< Time to load from the weight store.
+  base::Duration diskLoadTime{0};    ///< Time to load from the worker's disk.
+  base::Duration memoryLoadTime{0};  ///< Time to load from the worker's host memory.
   std::uint32_t adapters = 0;
   double adapterMegabytes = 0;
 
-  /// @param adapter empty for the model itself.
+  /// @param adapter name of an adapter; empty for the base model, which always exists.
   bool hasAdapter(std::string_view adapter) const;
   bool operator==(const ModelSpec&) const = default;
   template <class Archive>
@@ -78,16 +80,16 @@
   }
 };
 
-/// What the workers of a model service are like, and how fast models may be loaded.
+/// Capacity of each worker of a model service, and the rate at which models may be loaded.
 struct EngineSpec {
-  std::uint32_t slots = 0;         ///< Requests that one worker batches.
-  std::uint64_t cacheTokens = 0;   ///< Key-value cache of one worker.
-  double weightsMegabytes = 0;     ///< Room of one worker for models and adapters.
-  std::uint32_t adapterSlots = 0;  ///< Adapters that one worker may hold.
-  double storeLoadsPerSecond = 0;  ///< Of the weight store, for all workers together.
+  std::uint32_t slots = 0;         ///< Requests that one worker can run in a batch.
+  std::uint64_t cacheTokens = 0;   ///< Capacity of one worker's key-value cache.
+  double weightsMegabytes = 0;     ///< Capacity of one worker for models and adapters.
+  std::uint32_t adapterSlots = 0;  ///< Adapters that one worker can hold.
+  double storeLoadsPerSecond = 0;  ///< Load rate of the weight store, for all workers together.
   std::vector<ModelSpec> models;
 
-  /// @return nothing if it names no such model.
+  /// @return the model of that name, or nullptr if none is declared.
   const ModelSpec* findModel(std::string_view name) const;
   bool operator==(const EngineSpec&) const = default;
   template <class Archive>
@@ -96,15 +98,16 @@
   }
 };
 
+/// A group of interchangeable workers that serve the same requests.
 struct Service {
   std::string name;
   std::string healthPath;
-  std::uint32_t maxConnections = 0;  ///< That one worker accepts, from all callers together.
-  std::optional<EngineSpec> engine;  ///< Absent: a plain service without models.
-  /// @name Of a worker that has just started; for servers only, not in the packed form
+  std::uint32_t maxConnections = 0;  ///< Limit of one worker, for all callers together.
+  std::optional<EngineSpec> engine;  ///< Absent for a plain service without models.
+  /// @name Limits for a worker that has just started; used by servers only, not serialized
   /// @{
-  base::Duration coldTime{0};  ///< For which it is cold.
-  double coldPerSecond = 0;    ///< Requests that it bears meanwhile; 0: as many as ever.
+  base::Duration coldTime{0};  ///< Time after the start for which a worker counts as cold.
+  double coldPerSecond = 0;    ///< Request rate that a cold worker can take; 0 means no limit.
   /// @}
 
   bool operator==(const Service&) const = default;
@@ -114,7 +117,7 @@
   }
 };
 
-/// What callers may send, and how long they may take.
+/// Limits on the size of requests and on the time that callers may take to send them.
 struct RequestLimits {
   std::uint64_t maxHeaderBytes = 16U << 10U;
   std::uint64_t maxBodyBytes = 4U << 20U;
@@ -128,18 +131,18 @@
   }
 };
 
-/// Who may send requests, and how many. Its keys are secrets: no log, metric or error has them, and
-/// no worker is shown one.
+/// A party that may send requests, with its keys and its quota. The keys are secrets: they never
+/// appear in a log, a metric or an error, and are never passed on to a worker.
 struct Tenant {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<std::uint32_t> priority;  ///< Goes before that of a route; 0 is the most urgent.
-  /// @name Its quota, over all gateways together
+  std::optional<std::uint32_t> priority;  ///< Overrides the route's; 0 is the most urgent.
+  /// @name Quota of the tenant, over all gateways together
   /// @{
-  double unitsPerSecond = 0;  ///< Rate; 0: there is no limit.
-  double burst = 0;           ///< Beyond the rate.
-  bool countsTokens = false;  ///< Else each request counts as one.
-  double defaultTokens = 0;   ///< Of a request that tells no count of tokens.
+  double unitsPerSecond = 0;  ///< Sustained rate; 0 means no limit.
+  double burst = 0;           ///< Units that may be used at once beyond the rate.
+  bool countsTokens = false;  ///< If false, each request counts as one unit.
+  double defaultTokens = 0;   ///< Cost of a request that states no token count.
   /// @}
 
   bool limited() const { return unitsPerSecond > 0; }
@@ -151,16 +154,18 @@
   }
 };
 
+/// A whole configuration document.
 struct Document {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<Service> services;
   RequestLimits limits;
   std::vector<Tenant> tenants;
-  /// Requests need the key of a tenant, but for those of open routes. Also if there is no tenant:
-  /// it is then that nobody has one.
+  /// Requests need the key of a tenant, except on open routes. This also holds if the list of
+  /// tenants is empty: then no caller has a valid key.
   bool keyed = false;
 
+  /// @return the service of that name, or nullptr if none is declared.
   const Service* findService(const std::string& name) const;
 
   bool operator==(const Document&) const = default;
--- a/include/walnut/catalog/document_codec.h
+++ b/include/walnut/catalog/document_codec.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The form in which documents and deltas go over the wire: cereal, then deflate, since routes are
-/// much alike (docs/CAPACITY.md has the sizes).
+/// Wire format of documents and deltas: serialized by cereal, then compressed by deflate, which
+/// pays off because routes resemble each other (docs/CAPACITY.md has the sizes).
 
 #include <string>
 #include <string_view>
@@ -15,8 +15,10 @@
 std::string packDocument(const Document& document);
 std::string packDelta(const DocumentDelta& delta);
 
-/// @name @return `malformedInput`, or `inputTooLarge` for what would grow beyond any document that
-/// the registry takes; nothing is allocated for more than that.
+/// @name Decoding
+/// @return the decoded value; otherwise `malformedInput`, or `inputTooLarge` if the decompressed
+/// size exceeds that of any document that the registry accepts. Decompression stops at that limit,
+/// so no more memory than that is allocated.
 /// @{
 base::Result<Document> unpackDocument(std::string_view bytes);
 base::Result<DocumentDelta> unpackDelta(std::string_view bytes);
--- a/include/walnut/catalog/document_delta.h
+++ b/include/walnut/catalog/document_delta.h
@@ -1,13 +1,14 @@
 #pragma once
 /// @file
-/// What differs between two documents, so that a change costs what it changes.
+/// The difference between two documents. Sending it instead of the whole document makes the cost of
+/// a change proportional to its size.
 
 #include "walnut/base/error.h"
 #include "walnut/catalog/document.h"
 
 namespace walnut::catalog {
 
-/// A route is known by its place: no two routes of a valid document share host and prefix.
+/// Key of a route: no two routes of a valid document share both host and path prefix.
 struct RoutePlace {
   std::string host;
   std::string pathPrefix;
@@ -18,14 +19,15 @@
   }
 };
 
+/// The changes that turn one version of a document into another.
 struct DocumentDelta {
   std::uint64_t baseVersion = 0;
   std::uint64_t version = 0;
-  std::vector<Route> changedRoutes;  ///< Added ones too.
+  std::vector<Route> changedRoutes;  ///< Includes added routes.
   std::vector<RoutePlace> removedRoutes;
-  std::vector<Service> changedServices;  ///< Added ones too; each as a whole.
+  std::vector<Service> changedServices;  ///< Includes added services; each is sent whole.
   std::vector<std::string> removedServices;
-  std::vector<Tenant> changedTenants;  ///< Added ones too; each as a whole.
+  std::vector<Tenant> changedTenants;  ///< Includes added tenants; each is sent whole.
   std::vector<std::string> removedTenants;
   bool keyed = false;
   RequestLimits limits;
@@ -38,10 +40,12 @@
   }
 };
 
+/// @return the delta that turns `from` into `to`.
 DocumentDelta makeDelta(const Document& from, const Document& to);
 
-/// @return `base` with the changes of `delta`; its parts may stand in another order than in the
-/// document that the delta was made for. `outOfRange` if the delta is for another base.
+/// @return `base` with the changes of `delta` applied; routes, services and tenants may be in a
+/// different order than in the document that the delta was made from. `outOfRange` if the delta was
+/// made for another base version.
 base::Result<Document> applyDelta(const Document& base, const DocumentDelta& delta);
 
 }  // namespace walnut::catalog
--- a/include/walnut/catalog/route_table.h
+++ b/include/walnut/catalog/route_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Finds the route of a request.
+/// Lookup of the route that matches a request.
 
 #include <memory>
 #include <string>
@@ -12,20 +12,20 @@
 
 namespace walnut::catalog {
 
-/// Index over the routes of one document, which it keeps alive.
+/// Index of the routes of one document by host and path prefix. Shares ownership of the document.
 class RouteTable {
  public:
   explicit RouteTable(std::shared_ptr<const Document> document);
 
-  /// @param host as in the Host field; its port, if any, is passed over.
-  /// @return the route of that host with the longest prefix of the path, or nullptr.
+  /// @param host value of the Host field; a port, if present, is ignored.
+  /// @return the route of that host with the longest matching path prefix, or nullptr.
   const Route* find(std::string_view host, std::string_view path) const;
 
   const Document& document() const { return *document_; }
 
  private:
   std::shared_ptr<const Document> document_;
-  /// Routes of a host by descending length of their prefixes.
+  /// Routes of each host, by descending length of their prefixes.
   std::unordered_map<std::string, std::vector<const Route*>> byHost_;
 };
 
--- a/include/walnut/catalog/validation.h
+++ b/include/walnut/catalog/validation.h
@@ -1,17 +1,18 @@
 #pragma once
 /// @file
-/// What makes a declared document invalid.
+/// Validation of declared documents.
 
 #include "walnut/base/error.h"
 #include "walnut/catalog/document.h"
 
 namespace walnut::catalog {
 
-/// @return an error that names the field, with the name of its route, service or tenant, if the
-/// document must not be taken: a route without services or with one that is not declared, two
-/// routes with one host and prefix, weights that add up to nothing, no time-out; a tenant without a
-/// name, with that of another or with control characters in it, an empty key or one that two
-/// tenants share. Names no key.
+/// Checks whether a document may be accepted. Rejects:
+/// - a route without services, with an undeclared service, without a time-out, or whose weights add
+///   up to 0; two routes with the same host and prefix;
+/// - a tenant whose name is missing, used twice or contains control characters; an empty key, or a
+///   key that two tenants share.
+/// @return an error that names the field with its route, service or tenant, but never a key.
 base::Result<void> validate(const Document& document);
 
 }  // namespace walnut::catalog
--- a/src/catalog/document_codec.cpp
+++ b/src/catalog/document_codec.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// Above the encoded form of the longest text that the registry takes (4 MB).
+/// Limit on the decompressed size; above the encoded size of the longest document text that the
+/// registry accepts (4 MB).
 constexpr std::size_t kMaxPlainBytes = 16U << 20U;
-/// The fastest of zlib's levels: a document is packed while a change is under way.
+/// Fastest compression level of zlib: a document is compressed while a change is in progress.
 constexpr int kLevel = 1;
 constexpr std::size_t kReadBytes = 64U << 10U;
 
--- a/src/catalog/document_delta.cpp
+++ b/src/catalog/document_delta.cpp
@@ -15,7 +15,8 @@
 
 const std::string& nameOfTenant(const Tenant& tenant) { return tenant.name; }
 
-/// Sorts the items of two lists into changed ones and the keys of removed ones.
+/// Compares two lists by key; appends new and changed items to `changed` and the keys of removed
+/// items to `removed`.
 template <class Key, class Item, class KeyOf>
 void compare(const std::vector<Item>& from, const std::vector<Item>& to, KeyOf keyOf,
              std::vector<Item>& changed, std::vector<Key>& removed) {
@@ -37,7 +38,7 @@
   }
 }
 
-/// @return the items of `from` that are neither changed nor removed, then the changed ones.
+/// @return the items of `from` that are neither changed nor removed, followed by the changed ones.
 template <class Key, class Item, class KeyOf>
 std::vector<Item> merge(const std::vector<Item>& from, KeyOf keyOf,
                         const std::vector<Item>& changed, const std::vector<Key>& removed) {
--- a/src/catalog/validation.cpp
+++ b/src/catalog/validation.cpp
@@ -61,7 +61,8 @@
 
 bool isAmount(double value) { return std::isfinite(value) && value >= 0; }
 
-/// Workers are told the name in a header field: it must not end that, nor begin another.
+/// Tenant names are sent to workers in a header field: a control character could end that field and
+/// inject another one.
 bool hasControlCharacter(const std::string& name) {
   return std::any_of(name.begin(), name.end(),
                      [](char sign) { return std::iscntrl(static_cast<unsigned char>(sign)) != 0; });
@@ -86,7 +87,7 @@
   return base::success();
 }
 
-/// The tenant of a request follows from its key alone.
+/// A request is assigned to a tenant by its key alone, so no two tenants may share one.
 Result<void> checkTenants(const Document& document) {
   std::set<std::string> names;
   std::map<std::string_view, std::string_view> owners;
--- a/test/catalog/document_codec_test.cpp
+++ b/test/catalog/document_codec_test.cpp
@@ -1,4 +1,4 @@
-/// Documents as they go over the wire.
+/// Tests of the wire format of documents and deltas.
 
 #include "walnut/catalog/document_codec.h"
 
@@ -50,7 +50,7 @@
   }
 }
 
-/// A short input may claim to be very long.
+/// A short input can decompress to a very long one, and must not exhaust memory.
 TEST(DocumentCodecTest, whatGrowsBeyondAnyDocumentIsRefused) {
   Document large = document(0);
   Route route;
--- a/test/catalog/document_delta_test.cpp
+++ b/test/catalog/document_delta_test.cpp
@@ -1,4 +1,4 @@
-/// What differs between two documents.
+/// Tests of making and applying deltas between documents.
 
 #include "walnut/catalog/document_delta.h"
 
@@ -27,7 +27,7 @@
     made.services = std::move(services);
     return made;
   }
-  /// Routes and services in one order.
+  /// Sorts routes and services, so that documents compare equal whatever their order.
   static Document sorted(Document document) {
     std::sort(
         document.routes.begin(), document.routes.end(),
--- a/test/catalog/route_table_test.cpp
+++ b/test/catalog/route_table_test.cpp
@@ -1,4 +1,4 @@
-/// Choice of the route of a request.
+/// Tests of the lookup of a request's route.
 
 #include "walnut/catalog/route_table.h"
 
--- a/test/catalog/validation_test.cpp
+++ b/test/catalog/validation_test.cpp
@@ -1,4 +1,4 @@
-/// Invalid documents, one fault each.
+/// Tests that invalid documents with a single fault each are rejected, and valid ones accepted.
 
 #include "walnut/catalog/validation.h"
 
