--- a/test/platform/dialect_test.cpp
+++ b/test/platform/dialect_test.cpp
@@ -1,4 +1,4 @@
-/// Formats of the users' platform.
+/// Tests of the message formats of the users' platform.
 
 #include "platform/control_dialect.h"
 #include "platform/document_reader.h"
@@ -280,7 +280,7 @@
   }
 }
 
-/// The fields that the users' pages leave to the system, by their names there.
+/// Fields that the users' documentation reserves for the system are listed by their literal names.
 TEST(DialectTest, noFieldOfTheSystemComesFromACaller) {
   net::HttpRequest request;
   for (const char* name :
@@ -347,8 +347,8 @@
   }
 }
 
-/// Bytes changed, taken out and put in at random places: no reader ends the process, and what is
-/// taken names a worker that can be used.
+/// Fuzz test: bytes are changed, removed and inserted at random places. No reader may crash, and
+/// each accepted heartbeat names a usable worker.
 TEST(DialectTest, spoiledBytesAreReadOrRefused) {
   std::uint64_t random = 1;
   const auto draw = [&random](std::size_t below) {
