--- a/include/walnut/net/http_message.h
+++ b/include/walnut/net/http_message.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// HTTP/1.1 messages as values.
+/// Value types for HTTP/1.1 messages.
 
 #include <cstdint>
 #include <optional>
@@ -10,13 +10,14 @@
 
 namespace walnut::net {
 
+/// One header field.
 struct Header {
   std::string name;
   std::string value;
   bool operator==(const Header&) const = default;
 };
 
-/// Header fields in their order. Names are compared without regard to case.
+/// List of header fields in their original order. Names are compared case-insensitively.
 class HeaderList {
  public:
   void add(std::string name, std::string value);
@@ -25,7 +26,8 @@
   void remove(std::string_view name);
   /// @return the first value of that name, or nullptr.
   const std::string* find(std::string_view name) const;
-  /// @return the first value of that name as a whole number; nothing if absent or not one.
+  /// @return the first value of that name as an unsigned integer; nothing if the field is absent or
+  /// is not a number.
   std::optional<std::uint64_t> findNumber(std::string_view name) const;
 
   const std::vector<Header>& all() const { return headers_; }
@@ -34,6 +36,7 @@
   std::vector<Header> headers_;
 };
 
+/// A request with its whole body.
 struct HttpRequest {
   std::string method;
   std::string target;  ///< Path and query, exactly as received.
@@ -44,25 +47,27 @@
   std::string_view path() const;
 };
 
+/// Status line and header fields of a response.
 struct HttpResponseHead {
   int status = 0;
   std::string reason;
   HeaderList headers;
 };
 
+/// A response with its whole body.
 struct HttpResponse {
   HttpResponseHead head;
   std::string body;
 };
 
-/// Removes the fields that concern only one connection (RFC 9110, section 7.6.1), those named by
-/// `Connection` included, and the framing fields.
+/// Removes the connection-specific (hop-by-hop) fields (RFC 9110, section 7.6.1), including those
+/// that `Connection` lists, and the fields that define the body's length.
 void removeConnectionHeaders(HeaderList& headers);
 
-/// @return the usual reason phrase of a status.
+/// @return the standard reason phrase of a status code.
 std::string_view reasonPhrase(int status);
 
-/// @name Serialised heads, with the empty line at their end
+/// @name Serialization of heads, including the empty line that ends them
 /// @{
 std::string encodeRequestHead(const HttpRequest& request);
 std::string encodeResponseHead(const HttpResponseHead& head);
--- a/include/walnut/net/server.h
+++ b/include/walnut/net/server.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What a handler of HTTP requests sees of the server: the request, and a sink for its answer.
+/// Interface between the HTTP server and request handlers: a handler receives a request and a sink
+/// for its response.
 
 #include <functional>
 #include <memory>
@@ -11,41 +12,43 @@
 
 namespace walnut::net {
 
-/// Sink for the one answer to a request. Owned by the server's connection and valid until the
-/// answer is finished or the caller is gone; after either, no call may follow.
+/// Receives the response to one request. Owned by the server's connection and valid until the
+/// response is finished or the caller has disconnected; it must not be called after that.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
 
-  /// Sends a whole answer, with its length.
+  /// Sends a complete response with its Content-Length.
   virtual void respond(HttpResponse response) = 0;
 
-  /// @name An answer in pieces, in chunks
+  /// @name Response of unknown length, sent with chunked transfer encoding
   /// @{
   virtual void beginChunked(HttpResponseHead head) = 0;
   virtual void writeChunk(std::string_view bytes) = 0;
   virtual void endChunked() = 0;
   /// @}
 
-  /// Ends the answer in a way that can't look complete: the connection is reset or closed.
+  /// Breaks off the response by closing the connection, so that the caller can't mistake it for a
+  /// complete one.
   virtual void abort() = 0;
 
-  /// Bytes that the caller has not taken yet.
+  /// @return the number of bytes that are not yet written to the caller's socket.
   virtual std::size_t bufferedBytes() const = 0;
-  /// Called at most once, when the caller closed its connection before the answer was finished.
+  /// The callback runs at most once, when the caller disconnects before the response is finished.
   virtual void setGoneCallback(std::function<void()> callback) = 0;
-  /// Called whenever all that was written has been taken.
+  /// The callback runs whenever all buffered bytes have been written to the socket.
   virtual void setDrainedCallback(std::function<void()> callback) = 0;
 };
 
+/// Handles the requests that a server receives.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  /// A whole request has come. The answer may be given at once or later.
+  /// Called when a request has been received whole. The handler may respond at once or later.
   virtual void onRequest(HttpRequest request, ResponseSink& sink) = 0;
 };
 
-/// What callers may send, and how long they may take.
+/// Limits on the size of requests and on the time that callers may take to send them.
 struct ServerLimits {
   std::size_t maxHeadBytes = 16U << 10U;
   std::size_t maxBodyBytes = 4U << 20U;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxResponseHeadBytes = 64U << 10U;
 constexpr int kFirstFinalStatus = 200;
 
-/// @return the `timeout` parameter of a Keep-Alive field.
+/// @return the `timeout` parameter of the Keep-Alive field, if present and valid.
 std::optional<base::Duration> parseKeepAlive(const HeaderList& headers) {
   const std::string* text = headers.find("Keep-Alive");
   if (text == nullptr) {
@@ -66,7 +66,7 @@
     bytes.remove_prefix(taken.value());
   }
   if (!bytes.empty() && !connection_.closed()) {
-    // Bytes that belong to no request.
+    // The server sent bytes that belong to no request.
     reusable_ = false;
     idleEnded();
   }
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One HTTP/1.1 connection to a server.
+/// An HTTP/1.1 connection to a server, from the client's side.
 
 #include <functional>
 
@@ -9,12 +9,12 @@
 
 namespace walnut::net {
 
-/// Told of the answer to a request. After `onResponseComplete` or `onResponseFailure` nothing
-/// follows.
+/// Receives the response to a request. No callback follows `onResponseComplete` or
+/// `onResponseFailure`.
 class ResponseCallbacks {
  public:
   virtual ~ResponseCallbacks() = default;
-  /// @return false if this answer belongs to another request: it is passed over, and the next one
+  /// @return false if this response belongs to another request: it is discarded, and the next one
   /// on the connection is awaited.
   virtual bool onResponseHead(MessageHead head) = 0;
   virtual void onResponseBody(std::string_view bytes) = 0;
@@ -23,31 +23,34 @@
   virtual void onResponseFailure(const base::Error& error, bool sent) = 0;
 };
 
+/// Time-outs of a client connection.
 struct ClientTimeouts {
   base::Duration connect = std::chrono::milliseconds(500);
-  /// For sent bytes without acknowledgement.
+  /// Longest time for which sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
   base::Duration unacked = std::chrono::seconds(3);
 };
 
-/// Carries one request at a time. Reusable after an answer only if the request was written whole,
-/// the answer was framed and followed by nothing, and the server keeps the connection open.
+/// Client connection that carries one request at a time. It can be reused after a response only if
+/// the request was written completely, the response had a defined length and was not followed by
+/// surplus bytes, no response was discarded, and the server keeps the connection open.
 class ClientConnection : public ConnectionCallbacks, public MessageParserCallbacks {
  public:
   ClientConnection(event::Dispatcher& dispatcher, const base::Endpoint& remote,
                    const ClientTimeouts& timeouts);
 
-  /// @param callbacks valid until the answer is complete or failed, or `cancel`.
+  /// @param callbacks must stay valid until the response is complete or has failed, or `cancel`.
   void send(const HttpRequest& request, ResponseCallbacks& callbacks);
-  /// No callback follows. The connection is closed, which tells the server.
+  /// Cancels the request: no callback follows. Closing the connection signals this to the server.
   void cancel();
 
   bool reusable() const { return reusable_ && !connection_.closed(); }
-  /// How long the server said it keeps an idle connection open; nothing if it did not say.
+  /// @return how long the server keeps an idle connection open, from its Keep-Alive field; nothing
+  /// if it did not send one.
   std::optional<base::Duration> keepAliveTimeout() const { return keepAliveTimeout_; }
-  /// Called when an idle connection can't be used any more.
+  /// The callback runs when the idle connection can no longer be used.
   void setIdleEndCallback(std::function<void()> callback) { onIdleEnd_ = std::move(callback); }
 
-  /// Pauses or resumes reading of the answer.
+  /// Pauses or resumes reading of the response.
   void setReading(bool enabled) { connection_.setReading(enabled); }
 
  private:
@@ -69,9 +72,9 @@
   bool reusable_ = false;
   bool keepAlive_ = true;
   bool framed_ = true;
-  bool passOver_ = false;    ///< The present answer belongs to another request.
-  bool passedOver_ = false;  ///< Some answer did: the connection is in doubt.
-  bool interim_ = false;     ///< The present answer is a 1xx.
+  bool passOver_ = false;    ///< The current response belongs to another request.
+  bool passedOver_ = false;  ///< A response was discarded, so the connection's state is in doubt.
+  bool interim_ = false;     ///< The current response is interim (status 1xx).
 };
 
 }  // namespace walnut::net
--- a/src/net/client_pool.h
+++ b/src/net/client_pool.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Idle HTTP connections to servers, kept for reuse.
+/// Pool of idle HTTP client connections, kept for reuse.
 
 #include <list>
 #include <map>
@@ -11,17 +11,18 @@
 
 namespace walnut::net {
 
+/// Settings of a client pool.
 struct ClientPoolOptions {
   ClientTimeouts timeouts;
-  /// Idle connections are closed this long before the server would.
+  /// Idle connections are closed this long before the server's own time-out closes them.
   base::Duration keepAliveMargin = std::chrono::milliseconds(700);
-  /// For servers that don't say.
+  /// Idle time-out for servers that don't state theirs.
   base::Duration defaultIdleTimeout = std::chrono::seconds(20);
 };
 
-/// Hands out connections by a key that names one life of one server: an address that was handed to
-/// another server is another key. The most recently used idle connection is taken first, so that
-/// surplus ones lapse.
+/// Pool of client connections by a key that identifies one incarnation of one server: if an address
+/// is reassigned to another server, that server has another key. The most recently used idle
+/// connection is reused first, so that surplus connections expire.
 class ClientPool {
  public:
   ClientPool(event::Dispatcher& dispatcher, const ClientPoolOptions& options)
@@ -31,12 +32,12 @@
 
   /// @return an idle connection, or a new one that is connecting.
   std::unique_ptr<ClientConnection> acquire(const std::string& key, const base::Endpoint& remote);
-  /// @return true if `acquire` would have an idle one.
+  /// @return true if `acquire` would return an idle connection.
   bool hasIdle(const std::string& key) const;
-  /// Takes back a connection after its answer; closes it if it is not reusable. May be called from
-  /// within a callback of the connection.
+  /// Returns a connection to the pool after its response; closes it if it is not reusable. May be
+  /// called from within a callback of the connection.
   void release(const std::string& key, std::unique_ptr<ClientConnection> connection);
-  /// Closes the idle connections of a server that is gone.
+  /// Closes the idle connections to a server that no longer exists.
   void forget(const std::string& key);
 
  private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -91,7 +91,7 @@
   try {
     socket_.close();
   } catch (const Poco::Exception&) {
-    // The descriptor is gone either way.
+    // The descriptor is released even if closing fails.
   }
 }
 
@@ -169,8 +169,8 @@
       count = socket_.sendBytes(bytes.data(), static_cast<int>(bytes.size()), MSG_NOSIGNAL);
     } catch (const Poco::Exception& exception) {
       if (!wouldBlock(exception)) {
-        // What the peer sent before it closed is still to be read: it tells more than this error,
-        // which the next read reports as well.
+        // Data that the peer sent before it closed may still be unread, and is more informative
+        // than this error. The next read reports the error as well.
         output_.consume(output_.size());
         updateMode();
         return;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -14,29 +14,31 @@
 
 namespace walnut::net {
 
-/// Told what happens on a connection. After `onEnd`, and after `close`, nothing follows. A callback
-/// must not destroy the connection; Scheduler::destroySoon does.
+/// Receives the events of a connection. No callback follows `onEnd` or `close`. A callback must not
+/// destroy the connection; use Scheduler::destroySoon instead.
 class ConnectionCallbacks {
  public:
   virtual ~ConnectionCallbacks() = default;
   virtual void onConnected() {}
   virtual void onData(std::string_view bytes) = 0;
-  /// The peer sends no more. The connection may still be written to.
+  /// The peer has closed its sending side. The connection may still be written to.
   virtual void onEndOfStream() = 0;
   /// The connection failed: `connectFailed` (nothing was sent), `timedOut` or `connectionLost`.
   virtual void onEnd(const base::Error& error) = 0;
-  /// All that was written has been handed to the operating system.
+  /// All buffered output has been handed to the operating system.
   virtual void onDrained() {}
 };
 
-/// States: connecting (opened by this side) -> open -> closed. Owned by its user.
+/// Non-blocking TCP connection. States: connecting (if opened by this side) -> open -> closed.
+/// Owned by its user.
 class Connection : public event::SocketHandler {
  public:
-  /// Around an accepted socket.
+  /// Wraps an accepted socket.
   Connection(event::Dispatcher& dispatcher, const Poco::Net::StreamSocket& socket,
              ConnectionCallbacks& callbacks);
-  /// Begins to connect. Failures are reported by a later `onEnd`, never from here.
-  /// @param unackedTimeout how long sent bytes, or a connect, may stay without an answer.
+  /// Begins to connect. Failures are reported by `onEnd` from the event loop, never synchronously.
+  /// @param unackedTimeout longest time for which sent bytes, or a connect, may stay
+  /// unacknowledged.
   Connection(event::Dispatcher& dispatcher, const base::Endpoint& remote,
              base::Duration connectTimeout, base::Duration unackedTimeout,
              ConnectionCallbacks& callbacks);
@@ -44,12 +46,13 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// Queues the bytes and writes what the socket takes.
+  /// Buffers the bytes and writes as many as the socket accepts.
   void write(std::string_view bytes);
-  /// Closes at once; what was not yet taken by the socket is lost.
+  /// Closes at once; output that the socket has not yet accepted is lost.
   void close();
 
-  /// Pauses or resumes reading, so that a slow reader on the other side holds up the sender.
+  /// Pauses or resumes reading. While reading is paused, TCP flow control slows the sender down
+  /// (backpressure).
   void setReading(bool enabled);
 
   std::size_t bufferedBytes() const { return output_.size(); }
@@ -74,10 +77,11 @@
   event::TimerPtr connectTimer_;
   bool reading_ = true;
   bool endOfStream_ = false;
-  int mode_ = 0;  ///< As the dispatcher was last told.
+  int mode_ = 0;  ///< Poll mode that is registered with the dispatcher.
 };
 
-/// @return a socket address; host names are refused, as POCO would resolve them.
+/// @return the socket address of an endpoint with a numeric IP address; host names are rejected,
+/// since POCO would resolve them.
 base::Result<Poco::Net::SocketAddress> toSocketAddress(const base::Endpoint& endpoint);
 
 }  // namespace walnut::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Whole HTTP calls: a request, its whole answer, a time-out.
+/// HTTP client for calls whose response is received whole, within a time-out.
 
 #include <functional>
 #include <memory>
@@ -10,13 +10,14 @@
 
 namespace walnut::net {
 
-/// Result of a call; with an error, whether the server may have seen the request.
+/// Result of a call: the response or an error, and whether the server may have received the
+/// request.
 struct CallOutcome {
   base::Result<HttpResponse> response;
   bool sent = false;
 };
 
-/// Owns its calls in progress.
+/// HTTP client that reuses connections. Owns its calls in progress.
 class HttpClient {
  public:
   using Callback = std::function<void(CallOutcome outcome)>;
@@ -26,10 +27,11 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// @param key names one life of the server, as in ClientPool.
+  /// Sends a request; `callback` runs once, with the response or an error.
+  /// @param key identifies one incarnation of the server, as in ClientPool.
   void call(const std::string& key, const base::Endpoint& remote, const HttpRequest& request,
             base::Duration timeout, Callback callback);
-  /// Closes idle connections to a server that is gone.
+  /// Closes the idle connections to a server that no longer exists.
   void forget(const std::string& key) { pool_.forget(key); }
 
  private:
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -11,9 +11,10 @@
 
 namespace walnut::net {
 
-/// Owns its connections. The handler must outlive it.
+/// HTTP/1.1 server. Owns its connections; the handler must outlive it.
 class HttpServer {
  public:
+  /// Opens a listening socket on `endpoint`; port 0 lets the kernel choose a port.
   static base::Result<std::unique_ptr<HttpServer>> open(event::Dispatcher& dispatcher,
                                                         const base::Endpoint& endpoint,
                                                         const ServerLimits& limits,
@@ -25,12 +26,12 @@
   HttpServer& operator=(const HttpServer&) = delete;
 
   const base::Endpoint& endpoint() const { return listener_->endpoint(); }
-  /// For requests that begin from now on.
+  /// Sets the limits for requests that begin after this call.
   void setLimits(const ServerLimits& limits) { limits_ = limits; }
 
-  /// Answers from now on ask callers to open another connection.
+  /// From now on, responses ask callers to close the connection (`Connection: close`).
   void announceClose();
-  /// Closes idle connections now and the others once they are answered.
+  /// Closes idle connections now, and the others once their current request is answered.
   void closeIdle();
   std::size_t connectionCount() const { return connections_.size(); }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -14,12 +14,13 @@
 
 namespace walnut::net {
 
-/// Accepts until destroyed. Pauses for a moment when the process has no more descriptors.
+/// Accepts connections until destroyed. Pauses briefly when accepting fails, which happens when the
+/// process has run out of file descriptors.
 class Listener : public event::SocketHandler {
  public:
   using AcceptCallback = std::function<void(const Poco::Net::StreamSocket& socket)>;
 
-  /// @param endpoint port 0: picked by the kernel.
+  /// @param endpoint address to listen on; port 0 lets the kernel choose a port.
   static base::Result<std::unique_ptr<Listener>> open(event::Dispatcher& dispatcher,
                                                       const base::Endpoint& endpoint,
                                                       AcceptCallback onAccept);
@@ -27,7 +28,7 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  /// Where it listens.
+  /// @return the bound address, with the actual port.
   const base::Endpoint& endpoint() const { return endpoint_; }
 
  private:
--- a/src/net/message_parser.cpp
+++ b/src/net/message_parser.cpp
@@ -13,7 +13,8 @@
 constexpr unsigned kNoContentStatus = 204;
 constexpr unsigned kNotModifiedStatus = 304;
 
-/// @return true if a response's end can be told without the end of its connection.
+/// @return true if the end of a response can be determined without waiting for the connection to
+/// close.
 bool hasLength(const http_parser& parser) {
   return (parser.flags & F_CHUNKED) != 0 || parser.content_length != kNoContentLength ||
          parser.status_code == kNoContentStatus || parser.status_code == kNotModifiedStatus;
@@ -59,7 +60,7 @@
     MessageParser& owner = self(parser);
     owner.flushHeader();
     owner.headDone_ = true;
-    // Another protocol is never switched to: the rest is parsed as HTTP.
+    // Protocol upgrades are not supported: the rest of the message is parsed as HTTP.
     parser->upgrade = 0;
     MessageHead& head = owner.head_;
     if (owner.kind_ == Kind::request) {
--- a/src/net/message_parser.h
+++ b/src/net/message_parser.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Incremental parsing of HTTP/1.1 messages, by the library http-parser: POCO's own parser reads
-/// from blocking streams, which would take a thread for each connection.
+/// Incremental HTTP/1.1 parser, built on the library http-parser: POCO's own parser reads from
+/// blocking streams, which would require a thread per connection.
 
 #include <http_parser.h>
 
@@ -15,15 +15,16 @@
 
 /// The start line and the header fields of a message.
 struct MessageHead {
-  std::string method;  ///< Of a request.
-  std::string target;  ///< Of a request.
-  int status = 0;      ///< Of a response.
-  std::string reason;  ///< Of a response.
+  std::string method;  ///< Set in requests.
+  std::string target;  ///< Set in requests.
+  int status = 0;      ///< Set in responses.
+  std::string reason;  ///< Set in responses.
   HeaderList headers;
-  bool framed = true;     ///< False: a response whose body ends with its connection.
+  bool framed = true;     ///< False for a response whose body is ended by closing the connection.
   bool keepAlive = true;  ///< The connection may carry another message after this one.
 };
 
+/// Receives the parts of parsed messages.
 class MessageParserCallbacks {
  public:
   virtual ~MessageParserCallbacks() = default;
@@ -32,30 +33,31 @@
   virtual void onComplete() = 0;
 };
 
-/// Parses one message after the other. Not destroyed from within its callbacks.
+/// Parser for a sequence of messages. Must not be destroyed from within its callbacks.
 class MessageParser {
  public:
   enum class Kind : std::uint8_t { request, response };
 
-  /// @param maxHeadBytes larger heads are refused with `inputTooLarge`.
+  /// @param maxHeadBytes size limit; larger heads are rejected with `inputTooLarge`.
   MessageParser(Kind kind, std::size_t maxHeadBytes, MessageParserCallbacks& callbacks);
   MessageParser(const MessageParser&) = delete;
   MessageParser& operator=(const MessageParser&) = delete;
 
-  /// Takes bytes up to the end of the present message.
-  /// @return how many were taken, or `malformedInput` or `inputTooLarge`.
+  /// Consumes bytes up to the end of the current message.
+  /// @return the number of bytes consumed, or `malformedInput` or `inputTooLarge`.
   base::Result<std::size_t> feed(std::string_view bytes);
-  /// The peer sends no more. Completes a response that ends with its connection.
-  /// @return `malformedInput` if that cuts a message short.
+  /// Signals the end of the stream. Completes a response that is ended by closing the connection.
+  /// @return `malformedInput` if a message is truncated.
   base::Result<void> feedEnd();
 
-  /// The next response answers a HEAD request: it has no body whatever its fields say.
+  /// Declares that the next response answers a HEAD request: it has no body, whatever its header
+  /// fields say.
   void expectNoBody() { noBody_ = true; }
-  /// @return true between the first byte of a message and its end.
+  /// @return true if a message has begun and is not complete.
   bool midMessage() const { return started_; }
 
  private:
-  struct Hooks;  ///< The library's C callbacks.
+  struct Hooks;  ///< C callbacks for the library.
   friend struct Hooks;
 
   void reset();
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -14,10 +14,11 @@
 constexpr int kBadRequest = 400;
 constexpr int kContentTooLarge = 413;
 constexpr int kHeadTooLarge = 431;
-/// Bytes of further requests that may wait while one is handled.
+/// Bytes of further requests that are buffered while one is handled; beyond that, reading pauses.
 constexpr std::size_t kMaxPending = 64U << 10U;
-/// For the last answer to be taken, and for what the caller still sends after a refusal: closing
-/// with unread bytes would reset the connection and lose the answer.
+/// Longest time to wait for the caller to read the last response, and, after a request was
+/// rejected, for what the caller is still sending: closing a socket with unread bytes would reset
+/// the connection and lose the response.
 constexpr base::Duration kClosingTimeout = std::chrono::seconds(5);
 constexpr base::Duration kLingerTimeout = std::chrono::seconds(1);
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -62,7 +63,8 @@
 }
 
 void ServerConnection::onTimeout() {
-  // An idle connection, or a request that is not coming in: nothing was taken on.
+  // The connection is idle, or the request did not arrive in time: no request is being handled, so
+  // it is safe to close.
   connection_.close();
   becomeClosed();
 }
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One connection of a caller.
+/// Server side of one HTTP connection.
 
 #include <functional>
 #include <memory>
@@ -12,9 +12,11 @@
 
 namespace walnut::net {
 
-/// States: idle -> reading a request -> handling it -> idle, ... -> closing (the last answer is
-/// still being written) -> closed. One request at a time: bytes of a next one wait until the
-/// present one is answered. Owned by HttpServer.
+/// Server side of one HTTP connection. States: idle -> reading a request -> handling it -> idle,
+/// ...
+/// -> closing (the last response is still being written) -> closed. One request is handled at a
+/// time; bytes of further requests are buffered until the current one is answered. Owned by
+/// HttpServer.
 class ServerConnection : public ConnectionCallbacks,
                          public MessageParserCallbacks,
                          public ResponseSink {
@@ -24,9 +26,9 @@
   ServerConnection(event::Dispatcher& dispatcher, const Poco::Net::StreamSocket& socket,
                    const ServerLimits& limits, RequestHandler& handler, ClosedCallback onClosed);
 
-  /// Closes it once the present request, if any, is answered.
+  /// Closes the connection once the current request, if any, is answered.
   void closeWhenIdle();
-  /// The answers from now on tell the caller to open another connection.
+  /// From now on, responses ask the caller to close the connection (`Connection: close`).
   void announceClose() { announceClose_ = true; }
   bool idle() const { return state_ == State::idle && pending_.empty(); }
 
@@ -75,7 +77,7 @@
   event::TimerPtr timer_;
   State state_ = State::idle;
   HttpRequest request_;
-  std::string pending_;  ///< Received and not parsed yet.
+  std::string pending_;  ///< Received bytes that are not parsed yet.
   std::function<void()> onGone_;
   std::function<void()> onDrained_;
   bool keepAlive_ = true;
--- a/test/net/http_loopback_test.cpp
+++ b/test/net/http_loopback_test.cpp
@@ -1,4 +1,4 @@
-/// Server and client on one event loop, over loopback.
+/// Tests of the HTTP server and client together, on one event loop over the loopback interface.
 
 #include <functional>
 #include <optional>
--- a/test/net/http_message_test.cpp
+++ b/test/net/http_message_test.cpp
@@ -1,4 +1,4 @@
-/// Header fields.
+/// Tests of header fields.
 
 #include "walnut/net/http_message.h"
 
--- a/test/net/message_parser_test.cpp
+++ b/test/net/message_parser_test.cpp
@@ -1,4 +1,4 @@
-/// HTTP/1.1 messages, whole, cut anywhere, and malformed.
+/// Tests of the parser with messages that are whole, split at any byte, or malformed.
 
 #include "net/message_parser.h"
 
@@ -23,7 +23,7 @@
   void onComplete() override { ++complete; }
 };
 
-/// Feeds everything, in pieces of `size`.
+/// Feeds the whole text to the parser in pieces of `size` bytes.
 base::Result<void> feedAll(MessageParser& parser, std::string_view text, std::size_t size) {
   while (!text.empty()) {
     std::string_view piece = text.substr(0, size);
