--- a/include/walnut/event/scheduler.h
+++ b/include/walnut/event/scheduler.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Time, timers and deferred calls of a single-threaded event loop, as its users see them. Tests
-/// use an implementation with virtual time.
+/// Interface to the clock, timers and deferred calls of a single-threaded event loop. Tests use an
+/// implementation with virtual time.
 
 #include <functional>
 #include <memory>
@@ -10,32 +10,34 @@
 
 namespace walnut::event {
 
-/// A timer that runs a callback once each time it is enabled. Destroying it disables it.
+/// One-shot timer: runs its callback once each time it is enabled. Destroying it disables it.
 class Timer {
  public:
   virtual ~Timer() = default;
-  /// Replaces an earlier time. A time that has passed means: in the next turn of the loop.
+  /// Schedules the callback, replacing an earlier time. If the time has already passed, the
+  /// callback runs in the next iteration of the event loop.
   virtual void enableAt(base::TimePoint time) = 0;
   virtual void disable() = 0;
 };
 
 using TimerPtr = std::unique_ptr<Timer>;
 
-/// All calls and callbacks happen on the thread of the loop.
+/// Clock, timers and deferred calls of an event loop. All calls and callbacks happen on the event
+/// loop's thread.
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
-  /// @return the time at which the present turn of the loop began.
+  /// @return the time at which the current iteration of the event loop began.
   virtual base::TimePoint now() const = 0;
-  /// @return the time by the clock itself: later than `now` if the process stood still within the
-  /// present turn, as what it read from a socket may be from after that.
+  /// @return the current time of the clock. It is later than `now` if the process was stopped
+  /// during the current iteration; data read from a socket may then have been sent after `now`.
   virtual base::TimePoint readClock() const { return now(); }
   virtual TimerPtr createTimer(std::function<void()> callback) = 0;
-  /// Runs `callback` after the present one has returned. Used to destroy objects that are still on
-  /// the call stack.
+  /// Runs `callback` after the current callback has returned. Used to destroy objects that are
+  /// still on the call stack.
   virtual void runSoon(std::function<void()> callback) = 0;
 
-  /// Destroys `object` after the present callback has returned.
+  /// Destroys `object` after the current callback has returned.
   template <class T>
   void destroySoon(std::unique_ptr<T> object) {
     runSoon([kept = std::shared_ptr<T>(std::move(object))] {});
--- a/src/event/dispatcher.cpp
+++ b/src/event/dispatcher.cpp
@@ -14,9 +14,10 @@
 
 using Poco::Net::PollSet;
 
-/// The poll set's wait stands still while the machine is suspended, and the timers' clock does not:
-/// after waking, what is due runs late by this at most. Below the least election timeout. Views,
-/// heartbeats and checks wake the processes more often than that in any case.
+/// Longest wait in the poll set. The wait does not advance while the machine is suspended, but the
+/// timers' clock does: after a resume, due timers run late by at most this value. It is below the
+/// shortest election timeout. Views, heartbeats and checks wake the processes more often than this
+/// in any case, so the limit causes no extra iterations.
 constexpr base::Duration kLongestWait = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -51,7 +52,7 @@
   try {
     pollSet_.remove(socket);
   } catch (const Poco::Exception&) {
-    // Closing the socket takes it out of the poll set as well.
+    // Removal fails for a closed socket; closing has already removed it from the poll set.
   }
 }
 
@@ -93,7 +94,8 @@
 }
 
 void Dispatcher::pollSockets(base::Duration wait) {
-  // The poll set counts in whole milliseconds: rounded up, lest it spin before a deadline.
+  // The poll set waits in whole milliseconds. Rounding up avoids busy polling just before a
+  // deadline.
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(wait);
   const PollSet::SocketModeMap ready =
       pollSet_.poll(Poco::Timespan(std::chrono::microseconds(millis).count()));
--- a/src/event/dispatcher.h
+++ b/src/event/dispatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The event loop of a process: sockets by POCO's poll set, timers, calls from other threads.
+/// The event loop of a process: sockets (by POCO's poll set), timers and calls from other threads.
 
 #include <Poco/Net/PollSet.h>
 #include <Poco/Net/Socket.h>
@@ -17,16 +17,17 @@
 
 namespace walnut::event {
 
-/// Told of what a watched socket is ready for.
+/// Receives the readiness events of a registered socket.
 class SocketHandler {
  public:
   virtual ~SocketHandler() = default;
-  /// @param mode PollSet modes. The handler may remove its socket and others.
+  /// Called when the socket is ready. The handler may remove its own socket and others.
+  /// @param mode bit mask of PollSet modes.
   virtual void onReady(int mode) = 0;
 };
 
-/// Not thread safe but for `post` and `stop`. Order of a turn: sockets, timers, deferred and posted
-/// calls, the end-of-turn callback.
+/// Event loop. Not thread safe, except for `post` and `stop`. Order of an iteration: sockets,
+/// timers, posted calls, deferred calls, the end-of-iteration callback.
 class Dispatcher : public Scheduler {
  public:
   Dispatcher();
@@ -40,17 +41,18 @@
   void update(const Poco::Net::Socket& socket, int mode);
   void remove(const Poco::Net::Socket& socket);
 
-  /// From any thread.
+  /// Runs `callback` on the event loop's thread. May be called from any thread.
   void post(std::function<void()> callback);
 
-  /// Called once at the end of each turn, after all its callbacks.
+  /// Sets a callback that runs once at the end of each iteration, after all other callbacks.
   void setEndOfTurn(std::function<void()> callback) { endOfTurn_ = std::move(callback); }
 
-  /// Runs until `stop`.
+  /// Runs iterations until `stop` is called.
   void run();
-  /// From any thread.
+  /// Ends `run`. May be called from any thread.
   void stop();
-  /// One turn. @param longestWait for sockets and timers.
+  /// Runs one iteration.
+  /// @param longestWait longest time to wait for sockets and timers.
   void runOnce(base::Duration longestWait);
 
  private:
--- a/src/event/output_buffer.h
+++ b/src/event/output_buffer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Bytes that wait to be written to a socket.
+/// Buffer of bytes to be written to a socket.
 
 #include <cstddef>
 #include <string>
@@ -8,13 +8,13 @@
 
 namespace walnut::event {
 
-/// Queue of bytes in one run of memory, so that many small frames leave in one write. Memory is
-/// given back whenever it is empty.
+/// FIFO buffer of bytes in contiguous memory, so that many small frames are sent by a single write.
+/// Its memory is released whenever it becomes empty.
 class OutputBuffer {
  public:
   void append(std::string_view bytes) { buffer_ += bytes; }
 
-  /// @return all that waits, oldest first.
+  /// @return all buffered bytes, oldest first.
   std::string_view front() const { return std::string_view(buffer_).substr(written_); }
 
   /// Removes `count` bytes at the front.
@@ -24,7 +24,8 @@
       std::string().swap(buffer_);
       written_ = 0;
     } else if (written_ > buffer_.size() / 2) {
-      // Moving only once more than half was written keeps the copying linear in what is sent.
+      // Moving the rest only once more than half is written keeps the total copying linear in the
+      // number of bytes sent.
       buffer_.erase(0, written_);
       written_ = 0;
     }
--- a/src/event/timer_queue.h
+++ b/src/event/timer_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Timers ordered by time.
+/// Queue of timers, ordered by time.
 
 #include <functional>
 #include <map>
@@ -9,7 +9,8 @@
 
 namespace walnut::event {
 
-/// Owner of no timer: a timer registers here while it is enabled. Must outlive its timers.
+/// Queue of the enabled timers of an event loop. It does not own them: a timer is registered while
+/// it is enabled. The queue must outlive its timers.
 class TimerQueue {
  public:
   TimerPtr create(std::function<void()> callback);
@@ -17,7 +18,8 @@
   /// @return when the next timer is due; kNever if none is enabled.
   base::TimePoint next() const { return due_.empty() ? base::kNever : due_.begin()->first; }
 
-  /// Runs what is due at `now`. Timers that are enabled meanwhile run in a later call.
+  /// Runs the timers that are due at `now`. Timers that are enabled during this call run in a later
+  /// call.
   void runDue(base::TimePoint now);
 
  private:
@@ -25,7 +27,7 @@
   using DueTimers = std::multimap<base::TimePoint, TimerImpl*>;
 
   DueTimers due_;
-  base::TimePoint runningAt_ = base::TimePoint::min();  ///< Set while `runDue` is at work.
+  base::TimePoint runningAt_ = base::TimePoint::min();  ///< Set only during `runDue`.
 };
 
 }  // namespace walnut::event
--- a/src/event/waker.cpp
+++ b/src/event/waker.cpp
@@ -20,7 +20,7 @@
     constexpr char kSignal = 'w';
     socket_.sendBytes(&kSignal, sizeof(kSignal));
   } catch (const Poco::Exception&) {
-    // The polling thread looks again at its next timer; a later call tries again.
+    // The polling thread still checks at its next timer, and a later call sends again.
     pending_ = false;
   }
 }
--- a/src/event/waker.h
+++ b/src/event/waker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Wakes a thread that waits in a poll set.
+/// Wake-up signal for a thread that waits in a poll set.
 
 #include <Poco/Net/DatagramSocket.h>
 
@@ -8,15 +8,17 @@
 
 namespace walnut::event {
 
-/// A loopback datagram socket connected to itself; POCO 1.11's PollSet has no wake-up of its own.
-/// Connected, so that the kernel drops datagrams of anyone else.
+/// Wakes a polling thread by a loopback datagram socket that is connected to itself, since PollSet
+/// of POCO 1.11 has no wake-up function. As it is connected, the kernel drops datagrams from any
+/// other sender.
 class Waker {
  public:
   Waker();
 
-  /// From any thread. Many calls before the next `drain` cost one datagram.
+  /// Wakes the polling thread. May be called from any thread. Calls before the next `drain` share
+  /// one datagram.
   void wake();
-  /// On the polling thread, before it looks at what it was woken for.
+  /// Resets the signal. Called on the polling thread before it checks what it was woken for.
   void drain();
 
   const Poco::Net::DatagramSocket& socket() const { return socket_; }
--- a/test/event/timer_queue_test.cpp
+++ b/test/event/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-/// Timers in virtual time.
+/// Tests of the timer queue in virtual time.
 
 #include "event/timer_queue.h"
 
