--- a/include/walnut/catalog/document_delta.h
+++ b/include/walnut/catalog/document_delta.h
@@ -9,10 +9,10 @@
 namespace walnut::catalog {
 
 /// Key of a route: no two routes of a valid document share both host and path prefix.
-struct RoutePlace {
+struct RouteKey {
   std::string host;
   std::string pathPrefix;
-  auto operator<=>(const RoutePlace&) const = default;
+  auto operator<=>(const RouteKey&) const = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(host, pathPrefix);
@@ -24,7 +24,7 @@
   std::uint64_t baseVersion = 0;
   std::uint64_t version = 0;
   std::vector<Route> changedRoutes;  ///< Includes added routes.
-  std::vector<RoutePlace> removedRoutes;
+  std::vector<RouteKey> removedRoutes;
   std::vector<Service> changedServices;  ///< Includes added services; each is sent whole.
   std::vector<std::string> removedServices;
   std::vector<Tenant> changedTenants;  ///< Includes added tenants; each is sent whole.
--- a/src/catalog/document_codec.cpp
+++ b/src/catalog/document_codec.cpp
@@ -15,14 +15,15 @@
 
 /// Limit on the decompressed size; above the encoded size of the longest document text that the
 /// registry accepts (4 MB).
-constexpr std::size_t kMaxPlainBytes = 16U << 20U;
+constexpr std::size_t kMaxDecompressedBytes = 16U << 20U;
 /// Fastest compression level of zlib: a document is compressed while a change is in progress.
-constexpr int kLevel = 1;
+constexpr int kCompressionLevel = 1;
 constexpr std::size_t kReadBytes = 64U << 10U;
 
 std::string deflate(const std::string& plain) {
   std::ostringstream packed;
-  Poco::DeflatingOutputStream stream(packed, Poco::DeflatingStreamBuf::STREAM_ZLIB, kLevel);
+  Poco::DeflatingOutputStream stream(packed, Poco::DeflatingStreamBuf::STREAM_ZLIB,
+                                     kCompressionLevel);
   stream.write(plain.data(), static_cast<std::streamsize>(plain.size()));
   stream.close();
   return packed.str();
@@ -40,9 +41,9 @@
     std::array<char, kReadBytes> buffer{};
     while (stream.read(buffer.data(), buffer.size()) || stream.gcount() > 0) {
       plain.append(buffer.data(), static_cast<std::size_t>(stream.gcount()));
-      if (plain.size() > kMaxPlainBytes) {
+      if (plain.size() > kMaxDecompressedBytes) {
         return base::Error{base::ErrorCode::inputTooLarge, "document",
-                           "over " + std::to_string(kMaxPlainBytes) + " bytes"};
+                           "over " + std::to_string(kMaxDecompressedBytes) + " bytes"};
       }
     }
     if (stream.bad()) {
--- a/src/catalog/document_delta.cpp
+++ b/src/catalog/document_delta.cpp
@@ -9,31 +9,31 @@
 
 namespace {
 
-RoutePlace placeOf(const Route& route) { return {route.host, route.pathPrefix}; }
+RouteKey routeKeyOf(const Route& route) { return {route.host, route.pathPrefix}; }
 
-const std::string& nameOf(const Service& service) { return service.name; }
+const std::string& serviceNameOf(const Service& service) { return service.name; }
 
-const std::string& nameOfTenant(const Tenant& tenant) { return tenant.name; }
+const std::string& tenantNameOf(const Tenant& tenant) { return tenant.name; }
 
 /// Compares two lists by key; appends new and changed items to `changed` and the keys of removed
 /// items to `removed`.
 template <class Key, class Item, class KeyOf>
 void compare(const std::vector<Item>& from, const std::vector<Item>& to, KeyOf keyOf,
              std::vector<Item>& changed, std::vector<Key>& removed) {
-  std::map<Key, const Item*> former;
+  std::map<Key, const Item*> previous;
   for (const Item& item : from) {
-    former[keyOf(item)] = &item;
+    previous[keyOf(item)] = &item;
   }
   for (const Item& item : to) {
-    const auto found = former.find(keyOf(item));
-    if (found == former.end() || !(*found->second == item)) {
+    const auto found = previous.find(keyOf(item));
+    if (found == previous.end() || !(*found->second == item)) {
       changed.push_back(item);
     }
-    if (found != former.end()) {
-      former.erase(found);
+    if (found != previous.end()) {
+      previous.erase(found);
     }
   }
-  for (const auto& [key, item] : former) {
+  for (const auto& [key, item] : previous) {
     removed.push_back(key);
   }
 }
@@ -62,9 +62,9 @@
   DocumentDelta delta;
   delta.baseVersion = from.version;
   delta.version = to.version;
-  compare(from.routes, to.routes, placeOf, delta.changedRoutes, delta.removedRoutes);
-  compare(from.services, to.services, nameOf, delta.changedServices, delta.removedServices);
-  compare(from.tenants, to.tenants, nameOfTenant, delta.changedTenants, delta.removedTenants);
+  compare(from.routes, to.routes, routeKeyOf, delta.changedRoutes, delta.removedRoutes);
+  compare(from.services, to.services, serviceNameOf, delta.changedServices, delta.removedServices);
+  compare(from.tenants, to.tenants, tenantNameOf, delta.changedTenants, delta.removedTenants);
   delta.keyed = to.keyed;
   delta.limits = to.limits;
   return delta;
@@ -78,9 +78,9 @@
   }
   Document next;
   next.version = delta.version;
-  next.routes = merge(base.routes, placeOf, delta.changedRoutes, delta.removedRoutes);
-  next.services = merge(base.services, nameOf, delta.changedServices, delta.removedServices);
-  next.tenants = merge(base.tenants, nameOfTenant, delta.changedTenants, delta.removedTenants);
+  next.routes = merge(base.routes, routeKeyOf, delta.changedRoutes, delta.removedRoutes);
+  next.services = merge(base.services, serviceNameOf, delta.changedServices, delta.removedServices);
+  next.tenants = merge(base.tenants, tenantNameOf, delta.changedTenants, delta.removedTenants);
   next.keyed = delta.keyed;
   next.limits = delta.limits;
   return next;
--- a/src/catalog/validation.cpp
+++ b/src/catalog/validation.cpp
@@ -59,7 +59,7 @@
   return {code, "tenants[" + tenant.name + "]." + field, detail};
 }
 
-bool isAmount(double value) { return std::isfinite(value) && value >= 0; }
+bool isNonNegative(double value) { return std::isfinite(value) && value >= 0; }
 
 /// Tenant names are sent to workers in a header field: a control character could end that field and
 /// inject another one.
@@ -75,8 +75,8 @@
   if (hasControlCharacter(tenant.name)) {
     return Error{ErrorCode::outOfRange, "tenants[].name", "a name has a control character"};
   }
-  if (!isAmount(tenant.unitsPerSecond) || !isAmount(tenant.burst) ||
-      !isAmount(tenant.defaultTokens)) {
+  if (!isNonNegative(tenant.unitsPerSecond) || !isNonNegative(tenant.burst) ||
+      !isNonNegative(tenant.defaultTokens)) {
     return invalidTenant(ErrorCode::outOfRange, tenant, "quota", "a figure is below 0");
   }
   for (const std::string& key : tenant.keys) {
@@ -144,10 +144,10 @@
                    "the service is declared twice"};
     }
   }
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> routeKeys;
   for (const Route& route : document.routes) {
     BOOST_OUTCOME_TRYV(checkRoute(route, declared));
-    if (!places.emplace(route.host, route.pathPrefix).second) {
+    if (!routeKeys.emplace(route.host, route.pathPrefix).second) {
       return invalid(ErrorCode::alreadyExists, route, "pathPrefix",
                      "another route has this host and prefix");
     }
