--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -43,7 +43,7 @@
 void ClientConnection::send(const HttpRequest& request, ResponseCallbacks& callbacks) {
   callbacks_ = &callbacks;
   reusable_ = false;
-  passOver_ = false;
+  discardResponse_ = false;
   if (request.method == "HEAD") {
     parser_.expectNoBody();
   }
@@ -68,13 +68,13 @@
   if (!bytes.empty() && !connection_.closed()) {
     // The server sent bytes that belong to no request.
     reusable_ = false;
-    idleEnded();
+    handleIdleEnd();
   }
 }
 
 void ClientConnection::onEndOfStream() {
   if (callbacks_ == nullptr) {
-    idleEnded();
+    handleIdleEnd();
     return;
   }
   const auto ended = parser_.feedEnd();
@@ -87,7 +87,7 @@
 
 void ClientConnection::onEnd(const Error& error) {
   if (callbacks_ == nullptr) {
-    idleEnded();
+    handleIdleEnd();
     return;
   }
   if (error.code == ErrorCode::connectFailed) {
@@ -106,22 +106,23 @@
   keepAlive_ = head.keepAlive;
   framed_ = head.framed;
   keepAliveTimeout_ = parseKeepAlive(head.headers);
-  passOver_ = !callbacks_->onResponseHead(std::move(head));
-  passedOver_ = passedOver_ || passOver_;
+  discardResponse_ = !callbacks_->onResponseHead(std::move(head));
+  hasDiscarded_ = hasDiscarded_ || discardResponse_;
 }
 
 void ClientConnection::onBody(std::string_view bytes) {
-  if (!passOver_ && !interim_ && callbacks_ != nullptr) {
+  if (!discardResponse_ && !interim_ && callbacks_ != nullptr) {
     callbacks_->onResponseBody(bytes);
   }
 }
 
 void ClientConnection::onComplete() {
-  if (std::exchange(interim_, false) || std::exchange(passOver_, false) || callbacks_ == nullptr) {
+  if (std::exchange(interim_, false) || std::exchange(discardResponse_, false) ||
+      callbacks_ == nullptr) {
     return;
   }
   const bool writtenWhole = connection_.bufferedBytes() == 0;
-  reusable_ = keepAlive_ && framed_ && writtenWhole && !passedOver_;
+  reusable_ = keepAlive_ && framed_ && writtenWhole && !hasDiscarded_;
   ResponseCallbacks* const callbacks = std::exchange(callbacks_, nullptr);
   callbacks->onResponseComplete();
 }
@@ -134,7 +135,7 @@
   }
 }
 
-void ClientConnection::idleEnded() {
+void ClientConnection::handleIdleEnd() {
   connection_.close();
   if (onIdleEnd_) {
     std::exchange(onIdleEnd_, nullptr)();
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -62,7 +62,7 @@
   void onComplete() override;
 
   void fail(const base::Error& error);
-  void idleEnded();
+  void handleIdleEnd();
 
   Connection connection_;
   MessageParser parser_;
@@ -72,9 +72,9 @@
   bool reusable_ = false;
   bool keepAlive_ = true;
   bool framed_ = true;
-  bool passOver_ = false;    ///< The current response belongs to another request.
-  bool passedOver_ = false;  ///< A response was discarded, so the connection's state is in doubt.
-  bool interim_ = false;     ///< The current response is interim (status 1xx).
+  bool discardResponse_ = false;  ///< The current response belongs to another request.
+  bool hasDiscarded_ = false;  ///< A response was discarded, so the connection's state is in doubt.
+  bool interim_ = false;       ///< The current response is interim (status 1xx).
 };
 
 }  // namespace walnut::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -17,7 +17,7 @@
 using Poco::Net::PollSet;
 
 constexpr int kBacklog = 512;
-constexpr int kAcceptsPerTurn = 64;
+constexpr int kMaxAcceptsPerIteration = 64;
 constexpr base::Duration kAcceptPause = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -57,7 +57,7 @@
 
 void Listener::onReady(int /*mode*/) {
   try {
-    for (int count = 0; count < kAcceptsPerTurn; ++count) {
+    for (int count = 0; count < kMaxAcceptsPerIteration; ++count) {
       if (!socket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
         return;
       }
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -228,11 +228,11 @@
   timer_->enableAt(dispatcher_.now() + (refused_ ? kLingerTimeout : kClosingTimeout));
 }
 
-void ServerConnection::onEndOfStream() { callerLeft(); }
+void ServerConnection::onEndOfStream() { handleDisconnect(); }
 
-void ServerConnection::onEnd(const base::Error& /*error*/) { callerLeft(); }
+void ServerConnection::onEnd(const base::Error& /*error*/) { handleDisconnect(); }
 
-void ServerConnection::callerLeft() {
+void ServerConnection::handleDisconnect() {
   if (state_ == State::closed) {
     return;
   }
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -61,7 +61,7 @@
   void refuse(int status);
   void finishAnswer();
   void beginClosing();
-  void callerLeft();
+  void handleDisconnect();
   void becomeClosed();
   void onTimeout();
   void armTimer();
--- a/test/net/http_loopback_test.cpp
+++ b/test/net/http_loopback_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int kMaxTurns = 5000;
+constexpr int kMaxIterations = 5000;
 
 struct FunctionHandler : RequestHandler {
   std::function<void(HttpRequest, ResponseSink&)> handle;
@@ -58,8 +58,8 @@
     server.reset();
   }
 
-  void turnUntil(const std::function<bool()>& done) {
-    for (int turn = 0; turn < kMaxTurns && !done(); ++turn) {
+  void runUntil(const std::function<bool()>& done) {
+    for (int iteration = 0; iteration < kMaxIterations && !done(); ++iteration) {
       dispatcher.runOnce(10ms);
     }
     CHECK_TRUE(done());
@@ -69,7 +69,7 @@
     std::optional<CallOutcome> outcome;
     client->call("server", server->endpoint(), request, 10s,
                  [&outcome](CallOutcome result) { outcome = std::move(result); });
-    turnUntil([&outcome] { return outcome.has_value(); });
+    runUntil([&outcome] { return outcome.has_value(); });
     return std::move(*outcome);
   }
 };
@@ -133,7 +133,7 @@
     sink.setGoneCallback([&gone] { gone = true; });
   };
   client->call("server", server->endpoint(), postRequest(""), 1ms, [](const CallOutcome&) {});
-  turnUntil([&gone] { return gone; });
+  runUntil([&gone] { return gone; });
 }
 
 TEST(HttpLoopbackTest, nothingWasSentWhereNobodyListens) {
@@ -142,7 +142,7 @@
   std::optional<CallOutcome> outcome;
   client->call("server", endpoint, postRequest(""), 10s,
                [&outcome](CallOutcome result) { outcome = std::move(result); });
-  turnUntil([&outcome] { return outcome.has_value(); });
+  runUntil([&outcome] { return outcome.has_value(); });
   CHECK_TRUE(outcome->response.has_error());
   CHECK_FALSE(outcome->sent);
 }
@@ -152,5 +152,5 @@
   server->announceClose();
   const CallOutcome outcome = call(postRequest(""));
   CHECK_EQUAL(std::string("close"), *outcome.response.value().head.headers.find("Connection"));
-  turnUntil([this] { return server->connectionCount() == 0; });
+  runUntil([this] { return server->connectionCount() == 0; });
 }
