--- a/src/event/dispatcher.cpp
+++ b/src/event/dispatcher.cpp
@@ -18,7 +18,7 @@
 /// timers' clock does: after a resume, due timers run late by at most this value. It is below the
 /// shortest election timeout. Views, heartbeats and checks wake the processes more often than this
 /// in any case, so the limit causes no extra iterations.
-constexpr base::Duration kLongestWait = std::chrono::milliseconds(250);
+constexpr base::Duration kMaxPollWait = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -66,7 +66,7 @@
 
 void Dispatcher::run() {
   while (!stopped_) {
-    runOnce(kLongestWait);
+    runOnce(kMaxPollWait);
   }
 }
 
@@ -88,8 +88,8 @@
   timers_.runDue(now_);
   runPosted();
   runDeferred();
-  if (endOfTurn_) {
-    endOfTurn_();
+  if (endOfIteration_) {
+    endOfIteration_();
   }
 }
 
--- a/src/event/dispatcher.h
+++ b/src/event/dispatcher.h
@@ -45,7 +45,7 @@
   void post(std::function<void()> callback);
 
   /// Sets a callback that runs once at the end of each iteration, after all other callbacks.
-  void setEndOfTurn(std::function<void()> callback) { endOfTurn_ = std::move(callback); }
+  void setEndOfTurn(std::function<void()> callback) { endOfIteration_ = std::move(callback); }
 
   /// Runs iterations until `stop` is called.
   void run();
@@ -65,7 +65,7 @@
   Poco::Net::PollSet pollSet_;
   std::unordered_map<const Poco::Net::SocketImpl*, SocketHandler*> handlers_;
   std::vector<std::function<void()>> deferred_;
-  std::function<void()> endOfTurn_;
+  std::function<void()> endOfIteration_;
   base::TimePoint now_;
   std::atomic<bool> stopped_ = false;
 
