--- a/test/catalog/document_codec_test.cpp
+++ b/test/catalog/document_codec_test.cpp
@@ -23,23 +23,23 @@
 }
 ;
 
-TEST(DocumentCodecTest, aDocumentComesBackAsItWas) {
+TEST(DocumentCodecTest, documentsRoundTrip) {
   for (const std::size_t routes : {0, 1, 5000}) {
     const Document made = document(routes);
     CHECK_TRUE(unpackDocument(packDocument(made)).value() == made);
   }
 }
 
-TEST(DocumentCodecTest, aDeltaComesBackAsItWas) {
+TEST(DocumentCodecTest, deltasRoundTrip) {
   const DocumentDelta delta = makeDelta(document(3), document(50));
   CHECK_TRUE(unpackDelta(packDelta(delta)).value() == delta);
 }
 
-TEST(DocumentCodecTest, theSameDocumentHasTheSameBytes) {
+TEST(DocumentCodecTest, encodingIsDeterministic) {
   CHECK_TRUE(packDocument(document(100)) == packDocument(document(100)));
 }
 
-TEST(DocumentCodecTest, whatIsNoDocumentIsRefused) {
+TEST(DocumentCodecTest, malformedInputIsRejected) {
   const std::string packed = packDocument(document(100));
   for (const std::string& bytes :
        {std::string(), std::string("nonsense"), packed.substr(0, packed.size() / 2),
@@ -51,7 +51,7 @@
 }
 
 /// A short input can decompress to a very long one, and must not exhaust memory.
-TEST(DocumentCodecTest, whatGrowsBeyondAnyDocumentIsRefused) {
+TEST(DocumentCodecTest, inputThatDecompressesBeyondTheLimitIsRejected) {
   Document large = document(0);
   Route route;
   route.host.assign(20U << 20U, 'h');
--- a/test/catalog/document_delta_test.cpp
+++ b/test/catalog/document_delta_test.cpp
@@ -41,7 +41,7 @@
                                  {{"s", "/", 1, std::nullopt}, {"t", "/", 1, std::nullopt}});
 };
 
-TEST(DocumentDeltaTest, whatIsAddedChangedAndRemovedMakesTheNewDocument) {
+TEST(DocumentDeltaTest, additionsChangesAndRemovalsMakeTheNewDocument) {
   Document to = document(8, {route("/d/", "u"), route("/a/", "s"), route("/b/", "u")},
                          {{"u", "/", 1, std::nullopt}, {"s", "/health", 2, std::nullopt}});
   to.limits.maxBodyBytes = 77;
@@ -53,7 +53,7 @@
   CHECK_TRUE(sorted(made.value()) == sorted(to));
 }
 
-TEST(DocumentDeltaTest, whatStaysIsNotInIt) {
+TEST(DocumentDeltaTest, unchangedItemsAreNotInTheDelta) {
   Document to = from;
   to.version = 4;
   const DocumentDelta delta = makeDelta(from, to);
@@ -64,7 +64,7 @@
   CHECK_TRUE(applyDelta(from, delta).value() == to);
 }
 
-TEST(DocumentDeltaTest, itAppliesToNoOtherBase) {
+TEST(DocumentDeltaTest, aDeltaForAnotherBaseVersionIsRejected) {
   DocumentDelta delta = makeDelta(from, from);
   delta.baseVersion = 2;
   const auto made = applyDelta(from, delta);
@@ -72,7 +72,7 @@
   CHECK_TRUE(made.error().code == base::ErrorCode::outOfRange);
 }
 
-TEST(DocumentDeltaTest, tenantsAreTakenOver) {
+TEST(DocumentDeltaTest, tenantChangesAreApplied) {
   Document earlier;
   earlier.version = 1;
   earlier.keyed = true;
--- a/test/event/timer_queue_test.cpp
+++ b/test/event/timer_queue_test.cpp
@@ -26,7 +26,7 @@
   CHECK((fired == std::vector<int>{1, 2}));
 }
 
-TEST(TimerQueueTest, aTimerThatEnablesItselfRunsOnceATurn) {
+TEST(TimerQueueTest, aTimerThatEnablesItselfRunsOncePerIteration) {
   TimerPtr timer;
   timer = queue.create([this, &timer] {
     fired.push_back(1);
--- a/test/net/http_loopback_test.cpp
+++ b/test/net/http_loopback_test.cpp
@@ -86,7 +86,7 @@
   CHECK_EQUAL(1, server->connectionCount());
 }
 
-TEST(HttpLoopbackTest, aLongBodyComesWhole) {
+TEST(HttpLoopbackTest, aLongBodyIsTransferredCompletely) {
   const std::string body(3U << 20U, 'b');
   handler.handle = [](HttpRequest request, ResponseSink& sink) {
     sink.respond(textResponse(std::move(request.body)));
@@ -114,7 +114,7 @@
   CHECK_EQUAL(std::string("abcd"), call(postRequest("")).response.value().body);
 }
 
-TEST(HttpLoopbackTest, anAnswerThatIsBrokenOffFails) {
+TEST(HttpLoopbackTest, anAbortedResponseFails) {
   handler.handle = [](HttpRequest, ResponseSink& sink) {
     HttpResponseHead head;
     head.status = 200;
@@ -127,7 +127,7 @@
   CHECK_TRUE(outcome.sent);
 }
 
-TEST(HttpLoopbackTest, theServerNoticesACallerThatLeaves) {
+TEST(HttpLoopbackTest, theServerNoticesThatACallerDisconnects) {
   bool gone = false;
   handler.handle = [&gone](HttpRequest, ResponseSink& sink) {
     sink.setGoneCallback([&gone] { gone = true; });
@@ -136,7 +136,7 @@
   runUntil([&gone] { return gone; });
 }
 
-TEST(HttpLoopbackTest, nothingWasSentWhereNobodyListens) {
+TEST(HttpLoopbackTest, aRefusedConnectionReportsThatNothingWasSent) {
   const base::Endpoint endpoint = server->endpoint();
   server.reset();
   std::optional<CallOutcome> outcome;
@@ -147,7 +147,7 @@
   CHECK_FALSE(outcome->sent);
 }
 
-TEST(HttpLoopbackTest, aStoppingServerAsksForOtherConnections) {
+TEST(HttpLoopbackTest, afterAnnounceCloseResponsesAskToCloseTheConnection) {
   handler.handle = [](HttpRequest, ResponseSink& sink) { sink.respond(textResponse("")); };
   server->announceClose();
   const CallOutcome outcome = call(postRequest(""));
--- a/test/net/http_message_test.cpp
+++ b/test/net/http_message_test.cpp
@@ -9,7 +9,7 @@
 
 TEST_GROUP(HttpMessageTest){};
 
-TEST(HttpMessageTest, connectionHeadersAndThoseTheyNameAreRemoved) {
+TEST(HttpMessageTest, connectionHeadersAndThoseTheyListAreRemoved) {
   HeaderList headers;
   headers.add("Connection", "keep-alive, X-Hop");
   headers.add("X-Hop", "1");
@@ -29,7 +29,7 @@
   CHECK_EQUAL(3, *headers.findNumber("a"));
 }
 
-TEST(HttpMessageTest, aNumberIsWholeOrNone) {
+TEST(HttpMessageTest, valuesThatAreNotWhollyNumericAreNotNumbers) {
   HeaderList headers;
   headers.add("A", "12x");
   CHECK_FALSE(headers.findNumber("A").has_value());
--- a/test/net/message_parser_test.cpp
+++ b/test/net/message_parser_test.cpp
@@ -40,7 +40,7 @@
 
 TEST_GROUP(MessageParserTest) { Collected collected; };
 
-TEST(MessageParserTest, aRequestIsTheSameHoweverItIsCut) {
+TEST(MessageParserTest, aRequestIsParsedTheSameWhereverItIsSplit) {
   const std::string text =
       "POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\nTransfer-Encoding: chunked\r\n\r\n"
       "4\r\nabcd\r\n2\r\nef\r\n0\r\n\r\n";
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(MessageParserTest, oneMessageEndsWhereTheNextBegins) {
+TEST(MessageParserTest, feedStopsAtTheEndOfAMessage) {
   MessageParser parser(MessageParser::Kind::request, kMaxHead, collected);
   const std::string one = "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n";
   const std::string both = one + "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -90,7 +90,7 @@
   CHECK_EQUAL(1, collected.complete);
 }
 
-TEST(MessageParserTest, aResponseThatIsCutShortIsNotComplete) {
+TEST(MessageParserTest, aTruncatedResponseIsNotComplete) {
   MessageParser parser(MessageParser::Kind::response, kMaxHead, collected);
   CHECK_TRUE(feedAll(parser, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", 7).has_value());
   CHECK_TRUE(parser.feedEnd().has_error());
@@ -104,7 +104,7 @@
   CHECK_EQUAL(1, collected.complete);
 }
 
-TEST(MessageParserTest, noOtherProtocolIsSwitchedTo) {
+TEST(MessageParserTest, protocolUpgradesAreIgnored) {
   MessageParser parser(MessageParser::Kind::request, kMaxHead, collected);
   CHECK_TRUE(feedAll(parser,
                      "POST / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: other\r\n"
--- a/test/platform/dialect_test.cpp
+++ b/test/platform/dialect_test.cpp
@@ -116,7 +116,7 @@
   STRCMP_EQUAL("zone", control.readCall(post("/v1/Evacuations.Begin/", "")).error().field.c_str());
 }
 
-TEST(DialectTest, answersHaveTheStatusThatCallersActOn) {
+TEST(DialectTest, answersHaveTheHttpStatusOfTheirOutcome) {
   registry::ControlAnswer answer;
   answer.status = registry::ControlStatus::done;
   answer.leader = base::Endpoint{"10.0.0.4", 8080};
@@ -129,7 +129,7 @@
   CHECK_EQUAL(503, control.writeAnswer(registry::ReadDocument{}, answer).head.status);
 }
 
-TEST(DialectTest, anOrderNamesItsFenceAndCount) {
+TEST(DialectTest, anOrderContainsItsFencingTokenAndExpectedCount) {
   registry::SendOrder order;
   order.worker = {{"i-7"}, "s1", {"10.0.0.9", 8080}, {}, 64, false};
   order.model = "m1";
@@ -145,7 +145,7 @@
   CHECK_TRUE(request.body.find("\"operation\":\"loading\"") != std::string::npos);
 }
 
-TEST(DialectTest, answersToOrdersAreTold) {
+TEST(DialectTest, orderResponsesAreMappedToOutcomes) {
   const std::pair<int, registry::OrderOutcome> cases[] = {
       {202, registry::OrderOutcome::accepted},    {200, registry::OrderOutcome::alreadyDone},
       {409, registry::OrderOutcome::busy},        {412, registry::OrderOutcome::fenced},
@@ -173,7 +173,7 @@
   CHECK_TRUE(workers.readReport(response).has_error());
 }
 
-TEST(DialectTest, aRequestIsReadAndSentOn) {
+TEST(DialectTest, aRequestIsReadAndForwarded) {
   net::HttpRequest request;
   request.headers.add("X-Walnutlead-Attempt-Id", "id-1");
   request.headers.add("X-Walnutlead-Deadline-Ms", "15000");
@@ -203,7 +203,7 @@
   DOUBLES_EQUAL(0, *requests.readAnswer(421, headers).limit, 1e-9);
 }
 
-TEST(DialectTest, aLimitThatIsNoDecimalNumberIsRefusedByItsName) {
+TEST(DialectTest, aLimitThatIsNoDecimalNumberIsRejectedNamingTheField) {
   const std::string long400(400, '9');
   for (const char* text : {"", "one", "-1", "+1", "nan", "inf", "infinity", "1e3", "1.2.3", ".",
                            "1,5", "0x10", "1 2", "1000001", long400.c_str()}) {
@@ -216,7 +216,7 @@
   }
 }
 
-TEST(DialectTest, ofTwoLimitsInOneAnswerNoneIsBelieved) {
+TEST(DialectTest, severalLimitsInOneResponseAreIgnored) {
   net::HeaderList headers;
   headers.add("Server-Limit", "1");
   headers.add("server-limit", "5");
@@ -225,7 +225,7 @@
   STRCMP_EQUAL("Server-Limit", facts.limitError->field.c_str());
 }
 
-TEST(DialectTest, whatDidNotRunIsKnown) {
+TEST(DialectTest, notExecutedRequestsAreRecognized) {
   net::HeaderList headers;
   CHECK_FALSE(requests.readAnswer(503, headers).notExecuted);
   CHECK_TRUE(requests.readAnswer(421, headers).notExecuted);
@@ -281,7 +281,7 @@
 }
 
 /// Fields that the users' documentation reserves for the system are listed by their literal names.
-TEST(DialectTest, noFieldOfTheSystemComesFromACaller) {
+TEST(DialectTest, systemFieldsFromCallersAreRemoved) {
   net::HttpRequest request;
   for (const char* name :
        {"X-Walnutlead-Hold", "X-Walnutlead-Pin-Ms", "X-Walnutlead-Kv-Backup", "Kv-From", "Kv-Fetch",
@@ -295,7 +295,7 @@
   CHECK_EQUAL(2, request.headers.all().size());
 }
 
-TEST(DialectTest, aKeyAndBothCountsOfTokensAreRead) {
+TEST(DialectTest, aKeyAndBothTokenCountsAreRead) {
   net::HttpRequest request;
   request.headers.add("X-Walnutlead-Credential", "key-1");
   request.headers.add("X-Walnutlead-Token-Count", "1460,80");
@@ -309,7 +309,7 @@
   STRCMP_EQUAL("t1", request.headers.find("X-Walnutlead-Tenant")->c_str());
 }
 
-TEST(DialectTest, aLifeOfAWorkerIsRead) {
+TEST(DialectTest, anIncarnationOfAWorkerIsRead) {
   const auto call = control.readCall(post("/v1/Instances.Heartbeat/i-7", kHeartbeat));
   const registry::WorkerRecord& record =
       std::get<registry::ReportAlive>(call.value()).heartbeat.worker;
@@ -322,7 +322,7 @@
                workers.writeOrder(order).headers.find("X-Walnutlead-Target-Instance")->c_str());
 }
 
-TEST(DialectTest, aHeartbeatOfAnotherWriterNamesTheField) {
+TEST(DialectTest, malformedHeartbeatsNameTheField) {
   const std::pair<std::string, const char*> cases[] = {
       {replaced(kHeartbeat, "\"ready\"", "\"resting\""), "state"},
       {replaced(kHeartbeat, "\"slots\":64,", ""), "slots"},
@@ -349,7 +349,7 @@
 
 /// Fuzz test: bytes are changed, removed and inserted at random places. No reader may crash, and
 /// each accepted heartbeat names a usable worker.
-TEST(DialectTest, spoiledBytesAreReadOrRefused) {
+TEST(DialectTest, randomlyCorruptedInputIsReadOrRejected) {
   std::uint64_t random = 1;
   const auto draw = [&random](std::size_t below) {
     constexpr std::uint64_t kMultiplier = 6364136223846793005U;
