--- a/src/event/dispatcher.cpp
+++ b/src/event/dispatcher.cpp
@@ -17,7 +17,7 @@
 /// Longest wait in the poll set. The wait does not advance while the machine is suspended, but the
 /// timers' clock does: after a resume, due timers run late by at most this value. It is below the
 /// shortest election timeout. Views, heartbeats and checks wake the processes more often than this
-/// in any case, so the limit causes no extra iterations.
+/// in any case.
 constexpr base::Duration kMaxPollWait = std::chrono::milliseconds(250);
 
 }  // namespace
