--- a/test/catalog/document_delta_test.cpp
+++ b/test/catalog/document_delta_test.cpp
@@ -1,4 +1,4 @@
-/// What differs between two documents.
+/// Tests of making and applying deltas between documents.
 
 #include "walnut/catalog/document_delta.h"
 
@@ -27,7 +27,7 @@
     made.services = std::move(services);
     return made;
   }
-  /// Routes and services in one order.
+  /// Sorts routes and services, so that documents compare equal whatever their order.
   static Document sorted(Document document) {
     std::sort(
         document.routes.begin(), document.routes.end(),
@@ -41,7 +41,7 @@
                                  {{"s", "/", 1, std::nullopt}, {"t", "/", 1, std::nullopt}});
 };
 
-TEST(DocumentDeltaTest, whatIsAddedChangedAndRemovedMakesTheNewDocument) {
+TEST(DocumentDeltaTest, additionsChangesAndRemovalsMakeTheNewDocument) {
   Document to = document(8, {route("/d/", "u"), route("/a/", "s"), route("/b/", "u")},
                          {{"u", "/", 1, std::nullopt}, {"s", "/health", 2, std::nullopt}});
   to.limits.maxBodyBytes = 77;
@@ -53,7 +53,7 @@
   CHECK_TRUE(sorted(made.value()) == sorted(to));
 }
 
-TEST(DocumentDeltaTest, whatStaysIsNotInIt) {
+TEST(DocumentDeltaTest, unchangedItemsAreNotInTheDelta) {
   Document to = from;
   to.version = 4;
   const DocumentDelta delta = makeDelta(from, to);
@@ -64,7 +64,7 @@
   CHECK_TRUE(applyDelta(from, delta).value() == to);
 }
 
-TEST(DocumentDeltaTest, itAppliesToNoOtherBase) {
+TEST(DocumentDeltaTest, aDeltaForAnotherBaseVersionIsRejected) {
   DocumentDelta delta = makeDelta(from, from);
   delta.baseVersion = 2;
   const auto made = applyDelta(from, delta);
@@ -72,7 +72,7 @@
   CHECK_TRUE(made.error().code == base::ErrorCode::outOfRange);
 }
 
-TEST(DocumentDeltaTest, tenantsAreTakenOver) {
+TEST(DocumentDeltaTest, tenantChangesAreApplied) {
   Document earlier;
   earlier.version = 1;
   earlier.keyed = true;
--- a/test/net/http_loopback_test.cpp
+++ b/test/net/http_loopback_test.cpp
@@ -1,4 +1,4 @@
-/// Server and client on one event loop, over loopback.
+/// Tests of the HTTP server and client together, on one event loop over the loopback interface.
 
 #include <functional>
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int kMaxTurns = 5000;
+constexpr int kMaxIterations = 5000;
 
 struct FunctionHandler : RequestHandler {
   std::function<void(HttpRequest, ResponseSink&)> handle;
@@ -58,8 +58,8 @@
     server.reset();
   }
 
-  void turnUntil(const std::function<bool()>& done) {
-    for (int turn = 0; turn < kMaxTurns && !done(); ++turn) {
+  void runUntil(const std::function<bool()>& done) {
+    for (int iteration = 0; iteration < kMaxIterations && !done(); ++iteration) {
       dispatcher.runOnce(10ms);
     }
     CHECK_TRUE(done());
@@ -69,7 +69,7 @@
     std::optional<CallOutcome> outcome;
     client->call("server", server->endpoint(), request, 10s,
                  [&outcome](CallOutcome result) { outcome = std::move(result); });
-    turnUntil([&outcome] { return outcome.has_value(); });
+    runUntil([&outcome] { return outcome.has_value(); });
     return std::move(*outcome);
   }
 };
@@ -86,7 +86,7 @@
   CHECK_EQUAL(1, server->connectionCount());
 }
 
-TEST(HttpLoopbackTest, aLongBodyComesWhole) {
+TEST(HttpLoopbackTest, aLongBodyIsTransferredCompletely) {
   const std::string body(3U << 20U, 'b');
   handler.handle = [](HttpRequest request, ResponseSink& sink) {
     sink.respond(textResponse(std::move(request.body)));
@@ -114,7 +114,7 @@
   CHECK_EQUAL(std::string("abcd"), call(postRequest("")).response.value().body);
 }
 
-TEST(HttpLoopbackTest, anAnswerThatIsBrokenOffFails) {
+TEST(HttpLoopbackTest, anAbortedResponseFails) {
   handler.handle = [](HttpRequest, ResponseSink& sink) {
     HttpResponseHead head;
     head.status = 200;
@@ -127,30 +127,30 @@
   CHECK_TRUE(outcome.sent);
 }
 
-TEST(HttpLoopbackTest, theServerNoticesACallerThatLeaves) {
+TEST(HttpLoopbackTest, theServerNoticesThatACallerDisconnects) {
   bool gone = false;
   handler.handle = [&gone](HttpRequest, ResponseSink& sink) {
     sink.setGoneCallback([&gone] { gone = true; });
   };
   client->call("server", server->endpoint(), postRequest(""), 1ms, [](const CallOutcome&) {});
-  turnUntil([&gone] { return gone; });
+  runUntil([&gone] { return gone; });
 }
 
-TEST(HttpLoopbackTest, nothingWasSentWhereNobodyListens) {
+TEST(HttpLoopbackTest, aRefusedConnectionReportsThatNothingWasSent) {
   const base::Endpoint endpoint = server->endpoint();
   server.reset();
   std::optional<CallOutcome> outcome;
   client->call("server", endpoint, postRequest(""), 10s,
                [&outcome](CallOutcome result) { outcome = std::move(result); });
-  turnUntil([&outcome] { return outcome.has_value(); });
+  runUntil([&outcome] { return outcome.has_value(); });
   CHECK_TRUE(outcome->response.has_error());
   CHECK_FALSE(outcome->sent);
 }
 
-TEST(HttpLoopbackTest, aStoppingServerAsksForOtherConnections) {
+TEST(HttpLoopbackTest, afterAnnounceCloseResponsesAskToCloseTheConnection) {
   handler.handle = [](HttpRequest, ResponseSink& sink) { sink.respond(textResponse("")); };
   server->announceClose();
   const CallOutcome outcome = call(postRequest(""));
   CHECK_EQUAL(std::string("close"), *outcome.response.value().head.headers.find("Connection"));
-  turnUntil([this] { return server->connectionCount() == 0; });
+  runUntil([this] { return server->connectionCount() == 0; });
 }
