--- a/test/registry/document_sender_test.cpp
+++ b/test/registry/document_sender_test.cpp
@@ -1,4 +1,4 @@
-/// How documents reach gateways.
+/// Tests of DocumentSender.
 
 #include "registry/document_sender.h"
 
@@ -31,7 +31,7 @@
   static DocumentCursor cursorAfter(const DocumentPart& part) {
     return {part.version, part.baseVersion, part.hash, part.offset + part.bytes.size()};
   }
-  /// Acknowledges all parts until nothing more comes. @return the bytes that came.
+  /// Acknowledges all parts until no more are sent. @return their bytes.
   std::string drain(protocol::ConnectionId gateway) {
     std::string bytes;
     base::TimePoint now = start;
@@ -51,7 +51,7 @@
   }
 };
 
-TEST(DocumentSenderTest, aGatewayThatHoldsNothingIsSentTheWhole) {
+TEST(DocumentSenderTest, aGatewayWithoutADocumentIsSentTheWholeDocument) {
   const auto large = document(4, 4000);
   sender.setDocument(large);
   sender.subscribe({1}, 0, {});
@@ -68,7 +68,7 @@
   CHECK_TRUE(sender.nextParts() == base::kNever);
 }
 
-TEST(DocumentSenderTest, aGatewayThatHoldsAFormerDocumentIsSentTheDelta) {
+TEST(DocumentSenderTest, aGatewayWithAPreviousDocumentIsSentTheDelta) {
   sender.setDocument(document(4, 4000));
   sender.setDocument(document(5, 4001));
   sender.subscribe({1}, 4, {});
@@ -78,7 +78,7 @@
   CHECK_EQUAL(1, delta.value().changedRoutes.size());
 }
 
-TEST(DocumentSenderTest, onlyAWindowIsUnderWayToAGateway) {
+TEST(DocumentSenderTest, atMostOneWindowIsInFlightToAGateway) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
   const auto parts = sender.takeParts(start);
@@ -88,8 +88,8 @@
   CHECK_EQUAL(1, sender.takeParts(start + 20ms).size());
 }
 
-/// The work of a turn does not grow with the gateways.
-TEST(DocumentSenderTest, aFewPartsGoAtATimeHoweverManyGatewaysWait) {
+/// The work of one event loop iteration must not grow with the number of gateways.
+TEST(DocumentSenderTest, partsPerTimeSliceAreBoundedForAnyNumberOfGateways) {
   sender.setDocument(document(4, 4000));
   for (std::uint64_t gateway = 1; gateway <= 400; ++gateway) {
     sender.subscribe({gateway}, 0, {});
@@ -100,7 +100,7 @@
   CHECK_EQUAL(8, sender.takeParts(start + 10ms).size());
 }
 
-TEST(DocumentSenderTest, aTransferGoesOnWhereAnotherServerLeftIt) {
+TEST(DocumentSenderTest, aTransferResumesWhereAnotherServerStopped) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
   const DocumentPart first = sender.takeParts(start).at(0).part;
@@ -110,13 +110,13 @@
   CHECK_EQUAL(first.bytes.size(), other.takeParts(start).at(0).part.offset);
 }
 
-TEST(DocumentSenderTest, aCursorOfAnotherContentIsNotGoneOnWith) {
+TEST(DocumentSenderTest, aCursorOfDifferentContentIsNotResumed) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {4, 0, 12345, 32768});
   CHECK_EQUAL(0, sender.takeParts(start).at(0).part.offset);
 }
 
-/// Else changes in quick succession would starve a gateway on a slow link.
+/// Otherwise changes in quick succession would starve a gateway on a slow link.
 TEST(DocumentSenderTest, aTransferIsFinishedBeforeANewerDocumentIsSent) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
@@ -128,7 +128,7 @@
   CHECK_FALSE(sender.takeDelivered());
 }
 
-TEST(DocumentSenderTest, aGatewayThatSubscribesAgainBeginsAnew) {
+TEST(DocumentSenderTest, aTransferRestartsWhenAGatewaySubscribesAgain) {
   sender.setDocument(document(4, 4000));
   sender.subscribe({1}, 0, {});
   (void)sender.takeParts(start);
@@ -137,8 +137,8 @@
   CHECK_EQUAL(0, sender.takeParts(start + 10ms).at(0).part.offset);
 }
 
-/// A change of a document is some hundred bytes: a large fleet has it within a second.
-TEST(DocumentSenderTest, manySmallDeltasGoAtATime) {
+/// A delta takes some hundred bytes, so that a large fleet must receive it within a second.
+TEST(DocumentSenderTest, manySmallDeltasAreSentPerTimeSlice) {
   sender.setDocument(document(4, 10));
   constexpr std::uint64_t kGateways = 1000;
   for (std::uint64_t gateway = 1; gateway <= kGateways; ++gateway) {
--- a/test/registry/view_codec_test.cpp
+++ b/test/registry/view_codec_test.cpp
@@ -1,4 +1,4 @@
-/// Views as they go over the wire.
+/// Tests of ViewEncoder and ViewDecoder.
 
 #include "walnut/registry/view_codec.h"
 
@@ -54,7 +54,7 @@
     view.servers = {{"10.0.0.1", 7000}, {"10.0.0.2", 7000}};
     return view;
   }
-  std::string told(const ViewUpdate& view) {
+  std::string roundTrip(const ViewUpdate& view) {
     std::string bytes = encoder.encode(view, cursor);
     auto decoded = decoder.decode(bytes);
     CHECK_TRUE(decoded.has_value());
@@ -63,25 +63,25 @@
   }
 };
 
-TEST(ViewCodecTest, aViewComesBackAsItWas) {
-  told(ViewUpdate{});
-  told(complete());
+TEST(ViewCodecTest, aViewIsDecodedAsItWasEncoded) {
+  roundTrip(ViewUpdate{});
+  roundTrip(complete());
 }
 
-TEST(ViewCodecTest, aChangeComesBackWithTheRecordThatWasToldBefore) {
-  told(complete());
+TEST(ViewCodecTest, aChangeIsDecodedWithTheRecordSentBefore) {
+  roundTrip(complete());
   ViewUpdate change;
   change.changed = {viewOf("w1", {"m2", "m3"})};
   change.changed[0].silent = true;
-  told(change);
+  roundTrip(change);
   change.changed[0].record.leaving = true;
   change.removed = {{"w2"}};
-  told(change);
+  roundTrip(change);
 }
 
-/// 245 workers change some 100 times a second and are told to 300 gateways.
+/// 245 workers have some 100 changes per second, each of which is sent to 300 gateways.
 TEST(ViewCodecTest, aChangeTakesFewBytes) {
-  told(complete());
+  roundTrip(complete());
   ViewUpdate change;
   change.term = 3;
   change.documentVersion = 65;
@@ -89,11 +89,11 @@
   change.changed = {viewOf("w1", {"m2"})};
   change.loads = {{{"w2"}, {}, 11}};
   constexpr std::size_t kMostBytes = 24;
-  CHECK_TRUE(told(change).size() <= kMostBytes);
+  CHECK_TRUE(roundTrip(change).size() <= kMostBytes);
 }
 
-TEST(ViewCodecTest, eachGatewayIsToldNamesOfItsOwn) {
-  told(complete());
+TEST(ViewCodecTest, namesAreSentToEachGatewaySeparately) {
+  roundTrip(complete());
   ViewCursor other;
   ViewDecoder otherDecoder;
   const ViewUpdate view = complete();
@@ -102,20 +102,20 @@
   checkSame(view, decoded.value());
 }
 
-TEST(ViewCodecTest, aLimitIsToldToGatewaysThatReadIt) {
+TEST(ViewCodecTest, aLimitIsSentToGatewaysThatSupportIt) {
   ViewUpdate view = complete();
   view.changed[0].limit = 0.25;
-  cursor.takesLimits = true;
-  told(view);
+  cursor.acceptsLimits = true;
+  roundTrip(view);
   ViewUpdate change;
   change.changed = {view.changed[0]};
   change.changed[0].limit = 1000;
-  told(change);
+  roundTrip(change);
   change.changed[0].limit.reset();
-  told(change);
+  roundTrip(change);
 }
 
-/// Builds that know nothing of limits take the bytes that they always took.
+/// Builds without support for limits must get the same bytes as before.
 TEST(ViewCodecTest, aGatewayOfAnEarlierBuildIsToldNothingOfLimits) {
   const ViewUpdate without = complete();
   ViewUpdate with = without;
@@ -127,24 +127,24 @@
   CHECK(encoderWithout.encode(without, first) == encoderWith.encode(with, second));
 }
 
-TEST(ViewCodecTest, aCompleteViewStartsAnew) {
-  told(complete());
-  told(complete());
+TEST(ViewCodecTest, aCompleteViewResetsTheState) {
+  roundTrip(complete());
+  roundTrip(complete());
 }
 
-TEST(ViewCodecTest, namesAreNumberedAnewWhenThereAreTooMany) {
-  told(complete());
-  for (std::size_t number = 0; number < ViewEncoder::kMostNames; ++number) {
+TEST(ViewCodecTest, namesAreRenumberedWhenThereAreTooMany) {
+  roundTrip(complete());
+  for (std::size_t number = 0; number < ViewEncoder::kMaxNames; ++number) {
     ViewUpdate change;
     change.removed = {{"gone-" + std::to_string(number)}};
     (void)decoder.decode(encoder.encode(change, cursor));
   }
   ViewUpdate change;
   change.changed = {viewOf("w1", {"m9"})};
-  told(change);
+  roundTrip(change);
 }
 
-TEST(ViewCodecTest, whatIsNoViewIsRefused) {
+TEST(ViewCodecTest, malformedViewsAreRefused) {
   CHECK_TRUE(decoder.decode("").has_error());
   CHECK_TRUE(decoder.decode("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff").has_error());
   const std::string bytes = encoder.encode(complete(), cursor);
@@ -156,7 +156,7 @@
   CHECK_TRUE(fresh.decode(bytes + "x").has_error());
 }
 
-/// A gateway that has missed a view can't read the next one as if it had not.
+/// A gateway that missed a view must not decode the next one as if it had received both.
 TEST(ViewCodecTest, aNameThatWasNotToldIsRefused) {
   (void)encoder.encode(complete(), cursor);
   ViewUpdate change;
