--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The gateway's logic: routes requests of callers to workers of services.
+/// The gateway's logic: admits requests of callers and routes them to workers of services.
 
 #include <list>
 #include <map>
@@ -24,22 +24,24 @@
 
 struct GatewayOptions {
   WorkerSelectorOptions selection;
-  /// Arrivals at the workers of a service beyond the first of each request, over all gateways: this
-  /// share of its requests, and so many more in a window.
+  /// Retry budget of a service, over all gateways: attempts that reach its workers beyond the first
+  /// of each request may number this fraction of its requests, plus `retrySlack` in a window.
   double retryRatio = 0.2;
   double retrySlack = 10;
   std::uint32_t breakerFailures = 3;
   base::Duration breakerOpenFor = std::chrono::milliseconds(800);
   base::Duration demandInterval = std::chrono::milliseconds(500);
-  /// From the acknowledgement of a document without a key until no gateway lets it through.
+  /// Maximum time from the acknowledgement of a document that revokes a key until no gateway
+  /// accepts the key any more.
   base::Duration revocation = std::chrono::seconds(5);
 };
 
-/// Owns the exchanges in progress. Its view of workers and its document come from the registry's
-/// leader; without one it goes on with what it knows, but never back to an older document. What it
-/// knows of keys counts only while it is confirmed (DocumentLease): else requests that need one are
-/// refused as not run.
-class Gateway : public net::RequestHandler, public ExchangeContext, private ShareView {
+/// The request router of one gateway process. It owns the exchanges in progress. Its view of the
+/// workers and its document (the configuration) come from the registry's leader. Without a leader
+/// it continues with the last known state, but never returns to an older document. Its knowledge of
+/// keys counts only while confirmed (DocumentLease): otherwise requests that need a key are refused
+/// as not run.
+class Gateway : public net::RequestHandler, public ExchangeContext, private ShareLookup {
  public:
   Gateway(const GatewayOptions& options, event::Scheduler& scheduler, const RequestDialect& dialect,
           AttemptLauncher& launcher, RegistrySession& session, runtime::EventLog& log,
@@ -47,39 +49,41 @@
   ~Gateway() override;
 
   void start();
-  /// @return the document in force; null while there is none.
+  /// @return the document in force; null before the first one was received.
   std::shared_ptr<const catalog::Document> document() const;
   void viewReceived(const registry::ViewUpdate& update);
   void suspectsReceived(const registry::SuspectList& list);
-  /// The first view of a leader is there.
-  /// @param told whether it has told of suspects before: else there are none.
-  void leaderFollowed(bool told);
-  /// Takes a document if it is newer than the one in force.
-  /// @return true if it was taken.
+  /// Called when the first view of a newly followed leader has come.
+  /// @param gotSuspects true if the leader has sent a list of suspect requests before the view:
+  /// otherwise there are none.
+  void leaderFollowed(bool gotSuspects);
+  /// Puts a document in force if it is newer than the present one.
+  /// @return true if it was put in force.
   bool documentReceived(std::shared_ptr<const catalog::Document> document);
   void documentConfirmed(const registry::DocumentConfirmed& answer);
   void quotaGranted(const registry::QuotaGrant& grant);
   void lateModelsReceived(const registry::LateModels& late);
   void sharesGranted(const registry::ShareGrant& grant);
-  /// @return the version by whose keys a request would be let through now; 0: none would be.
+  /// @return the version of the document by whose keys a request would be admitted now; 0: keys are
+  /// not confirmed.
   std::uint64_t keysInForce() const;
 
-  /// @return true if the leader has told of a newer document than the one in force.
-  bool behind() const { return newestVersion_ > documentVersion(); }
+  /// @return true if the leader has announced a newer document than the one in force.
+  bool isBehind() const { return newestVersion_ > documentVersion(); }
 
-  /// @return true if requests can be let through and the gateway is not stopping.
+  /// @return true if requests can be admitted and the gateway is not shutting down.
   bool ready() const;
   void beginStop() { stopping_ = true; }
-  /// From now on streams are refused: the process may end before they would.
+  /// Refuses new streams from now on: the process may shut down before they are complete.
   void refuseStreams() { refusingStreams_ = true; }
-  /// From now on every request is refused, those that wait for a worker too: the process is about
-  /// to end.
+  /// Refuses every request from now on, also those that wait for a worker: the process is about to
+  /// shut down.
   void refuseAll();
-  /// Gives up what still runs.
+  /// Cancels all requests that still run.
   void giveUpAll();
   std::size_t exchangeCount() const { return exchanges_.size(); }
-  /// @return workers that have gone since the last call.
-  std::vector<registry::WorkerId> takeGoneWorkers() { return directory_.takeGone(); }
+  /// @return workers that were removed since the last call.
+  std::vector<registry::WorkerId> takeGoneWorkers() { return directory_.takeRemoved(); }
 
   // net::RequestHandler
   void onRequest(net::HttpRequest request, net::ResponseSink& sink) override;
@@ -100,82 +104,85 @@
   void attemptFailed(Worker& worker) override;
   void attemptSettled(const Worker& worker, const RequestFacts& facts,
                       AttemptOutcome outcome) override;
-  bool watchesRequests() const override { return quarantine_.watching(); }
-  std::optional<RequestQuarantine::Verdict> verdictOn(
+  bool hasSuspects() const override { return quarantine_.isActive(); }
+  std::optional<RequestQuarantine::Classification> classificationOf(
       const registry::RequestDigest& request) const override;
   void requestCut(const Worker& worker, const registry::RequestDigest& request,
                   bool begun) override;
   void suspectAnswered(const registry::RequestDigest& request) override;
-  void answerRead(const Worker& worker, const AnswerFacts& answer, base::TimePoint sentAt) override;
+  void responseHeadReceived(const Worker& worker, const AnswerFacts& answer,
+                            base::TimePoint sentAt) override;
   void shareWaitBegan(const registry::WorkerId& worker) override;
   void shareWaitEnded(const registry::WorkerId& worker) override;
   void takeShare(const registry::WorkerId& worker) override;
   std::optional<base::TimePoint> expectedAt(const std::string& service,
                                             const std::string& model) const override;
   std::uint64_t documentVersion() const override;
-  bool leaderKnown() const override { return session_.following(); }
-  void ended(Exchange& exchange, int status) override;
+  bool hasLeader() const override { return session_.following(); }
+  void exchangeEnded(Exchange& exchange, int status) override;
 
  private:
-  /// Assumed until the registry tells: rather too many.
-  static constexpr std::uint32_t kUnknownGateways = 16;
+  /// Number of gateways assumed until the registry announces it: rather too high, so that the retry
+  /// budget per gateway is not exceeded.
+  static constexpr std::uint32_t kInitialGatewayCount = 16;
   static constexpr base::Duration kRetryAfterRefusal = std::chrono::milliseconds(200);
 
-  // ShareView
-  ShareStanding standing(const registry::WorkerId& worker) override;
+  // ShareLookup
+  ShareState shareState(const registry::WorkerId& worker) override;
   bool limited(const registry::WorkerId& worker) const override {
     return limits_.limitOf(worker).has_value();
   }
   base::Duration shareRetryAfter(const registry::WorkerId& worker) override;
 
-  /// A request that came before any document was known.
+  /// A request that came before the gateway was prepared to route it.
   struct EarlyRequest {
     net::HttpRequest request;
     net::ResponseSink* sink = nullptr;
     base::TimePoint arrivedAt;
   };
 
-  /// A request that has been let in, and waits for its tenant's quota.
-  struct UnpaidRequest {
+  /// An authenticated request whose cost has to be taken from its tenant's quota.
+  struct PendingRequest {
     net::HttpRequest request;
     net::ResponseSink* sink = nullptr;
     RequestFacts facts;
     std::shared_ptr<const catalog::Document> document;  ///< Keeps the route alive.
     const catalog::Route* route = nullptr;
     base::TimePoint arrivedAt;
-    base::TimePoint until;       ///< When it is refused.
-    std::uint64_t question = 0;  ///< The first one that asks for it; 0: none yet.
+    base::TimePoint until;            ///< It is refused then.
+    std::uint64_t quotaSequence = 0;  ///< First quota request that covers it; 0: none.
   };
-  using UnpaidRequests = std::list<UnpaidRequest>;
+  using PendingRequests = std::list<PendingRequest>;
 
-  /// @return true once a request can be judged at all.
-  bool prepared() const;
+  /// @return true once requests can be routed and authenticated at all.
+  bool isPrepared() const;
   const catalog::Tenant* authenticate(RequestFacts& facts, net::ResponseSink& sink);
-  void noteLease(base::TimePoint now);
+  void logLeaseChange(base::TimePoint now);
   void countTenant(const std::string& tenant, int status);
-  void askForDocument();
-  void askForQuota(bool all);
-  void askForQuotaSoon();
+  void renewLease();
+  void requestQuota(bool all);
+  void requestQuotaSoon();
   bool sharesLimits() const;
-  void takeLimits(const registry::ViewUpdate& update);
-  void noteLimitChange(const std::optional<WorkerLimits::Change>& change, std::string_view source);
-  void noteUnreadableLimit(const Worker& worker, const base::Error& error);
+  void applyLimits(const registry::ViewUpdate& update);
+  void logLimitChange(const std::optional<WorkerLimits::Change>& change, std::string_view source);
+  void logUnreadableLimit(const Worker& worker, const base::Error& error);
   void reportLimits();
   void reportLimitsSoon();
-  void askForShares(bool all);
-  void askForSharesSoon();
+  void requestShares(bool all);
+  void requestSharesSoon();
   void reviewShares();
   base::Duration shareInterval() const;
   void wakeShareWaiters();
   void reviewQuota();
-  void waitForQuota(UnpaidRequest unpaid);
-  void settleUnpaid(const std::string& tenant, std::uint64_t question, base::Duration retryAfter);
-  void admit(UnpaidRequest admitted);
+  void queueForQuota(PendingRequest pending);
+  void settlePending(const std::string& tenant, std::uint64_t quotaSequence,
+                     base::Duration retryAfter);
+  void admit(PendingRequest admitted);
   /// @param waited time that the request has spent here.
   void routeRequest(net::HttpRequest request, net::ResponseSink& sink, base::Duration waited);
-  void keepEarly(net::HttpRequest request, net::ResponseSink& sink);
+  void queueEarly(net::HttpRequest request, net::ResponseSink& sink);
   void routeEarly();
-  void refuseLateEarly();
+  void refuseExpiredEarly();
   void refuse(net::ResponseSink& sink, const std::string& requestId, int status,
               std::string_view reason, base::Duration retryAfter = kRetryAfterRefusal,
               const std::string& tenant = {});
@@ -187,9 +194,9 @@
   void reportCutsSoon();
   void reportUseSoon(const Worker& worker, const std::string& model);
   void reportWithinSpacing();
-  void noteNewest(std::uint64_t version);
+  void recordNewestVersion(std::uint64_t version);
   void wakeWaiting();
-  /// Calls a method of all exchanges in the order of their arrival; it may end them.
+  /// Calls a method of all exchanges in the order of their arrival. The method may end exchanges.
   void forEachExchange(void (Exchange::*method)());
 
   const GatewayOptions options_;
@@ -203,19 +210,19 @@
   std::unique_ptr<catalog::RouteTable> routes_;
   std::unique_ptr<KeyTable> keys_;
   DocumentLease lease_;
-  bool leaseNoted_ = false;  ///< Whether it was valid, as last logged.
+  bool wasLeaseValid_ = false;  ///< Validity of the lease as last logged.
   event::TimerPtr leaseTimer_;
   QuotaAccount quota_;
-  std::map<std::string, UnpaidRequests> unpaid_;  ///< By tenant; no list is empty.
-  std::size_t unpaidCount_ = 0;
-  std::set<std::string> countedTenants_;  ///< That have a metric of their own.
+  std::map<std::string, PendingRequests> pendingRequests_;  ///< By tenant; without empty lists.
+  std::size_t pendingCount_ = 0;
+  std::set<std::string> countedTenants_;  ///< Tenants with a metric of their own.
   event::TimerPtr quotaTimer_;
   bool quotaSoon_ = false;
-  std::uint64_t newestVersion_ = 0;  ///< That the leader has told of.
-  base::TimePoint newestSince_;      ///< When it told of that first.
+  std::uint64_t newestVersion_ = 0;  ///< Newest document that the leader has announced.
+  base::TimePoint newestSince_;      ///< First announcement of `newestVersion_`.
   WorkerDirectory directory_;
   WorkerLimits limits_;
-  std::set<registry::WorkerId> unreadableLimits_;  ///< Workers whose last limit could not be read.
+  std::set<registry::WorkerId> unreadableLimits_;  ///< Workers that sent unreadable limits.
   event::TimerPtr shareTimer_;
   std::size_t shareWaiters_ = 0;
   bool sharesSoon_ = false;
@@ -223,21 +230,21 @@
   WorkerSelector selector_;
   DemandTracker demand_;
   RequestQuarantine quarantine_;
-  /// By service and model, when those that come late are expected.
+  /// Expected availability of models that are loaded late, by service and model.
   std::map<std::pair<std::string, std::string>, base::TimePoint> lateModels_;
-  base::TimePoint lateModelsUntil_;  ///< The leader's word counts so long.
+  base::TimePoint lateModelsExpireAt_;  ///< Expiry of `lateModels_`.
   bool cutsSoon_ = false;
   event::TimerPtr demandTimer_;
   bool demandSoon_ = false;
-  base::TimePoint quietUntil_;  ///< The last report had nothing: another such one is no news.
+  base::TimePoint nextEmptyReportAt_;  ///< No further empty report is sent before.
   base::TimePoint demandReportedAt_;
   base::TimePoint demandDueAt_;
-  std::uint32_t gateways_ = kUnknownGateways;
+  std::uint32_t gateways_ = kInitialGatewayCount;
   std::map<std::string, routing::RetryBudget> budgets_;             ///< By service.
   std::map<std::string, std::map<std::string, double>> rotations_;  ///< By route, by service.
-  /// By their numbers, so that those that wait are woken in the order of their arrival: in the
-  /// order of addresses the latest could take the place that the first one waits for, and no run of
-  /// the simulator could be repeated.
+  /// Ordered by number, so that waiting requests are woken in the order of their arrival: ordered
+  /// by address, the latest could take the slot that the first one waits for, and no run of the
+  /// simulator could be reproduced.
   std::map<std::uint64_t, std::unique_ptr<Exchange>> exchanges_;
   std::uint64_t lastExchange_ = 0;
   std::list<EarlyRequest> early_;
--- a/src/gateway/gateway_limits.cpp
+++ b/src/gateway/gateway_limits.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The part of a gateway that keeps the limits that workers name, together with all others.
+/// The part of a gateway that keeps to the rate limits that workers announce, together with all
+/// other gateways.
 
 #include <algorithm>
 #include <string>
@@ -15,37 +16,41 @@
 
 using runtime::LogEvent;
 
-/// Between two questions to the leader while requests wait for its answer.
-constexpr base::Duration kShareReview = std::chrono::milliseconds(50);
-/// Workers whose unreadable limits are remembered, so that each is logged once.
-constexpr std::size_t kMostUnreadable = 256;
+/// Time between two share requests to the leader while requests wait for its answer.
+constexpr base::Duration kShareReviewInterval = std::chrono::milliseconds(50);
+/// Maximum number of workers whose unreadable limits are remembered, so that each is logged once.
+constexpr std::size_t kMaxUnreadableLimits = 256;
 
 }  // namespace
 
-/// @return true if a leader is followed that shares out limits; else each gateway sends on its own.
+/// @return true if the followed leader supports shared limits; otherwise each gateway sends at a
+/// rate of its own.
 bool Gateway::sharesLimits() const {
   return session_.followingWith(registry::feature::kWorkerLimits);
 }
 
-void Gateway::answerRead(const Worker& worker, const AnswerFacts& answer, base::TimePoint sentAt) {
+void Gateway::responseHeadReceived(const Worker& worker, const AnswerFacts& answer,
+                                   base::TimePoint sentAt) {
   const registry::WorkerId& id = worker.view.record.id;
   if (answer.limitError) {
-    noteUnreadableLimit(worker, *answer.limitError);
+    logUnreadableLimit(worker, *answer.limitError);
     return;
   }
-  // Rejections are made before a worker looks at a request: only a limit that they name counts.
+  // An unsealed rejection is made before a worker looks at the request: it counts only if it
+  // announces a limit.
   const bool counts = answer.limit || answer.sealed;
   if (!counts || (!answer.limit && !limits_.any())) {
     return;
   }
   limits_.setSharing(sharesLimits(), gateways_);
-  noteLimitChange(limits_.answered(id, answer.limit, sentAt, scheduler_.readClock()), "answer");
+  logLimitChange(limits_.responseReceived(id, answer.limit, sentAt, scheduler_.readClock()),
+                 "answer");
   reportLimitsSoon();
 }
 
-void Gateway::noteUnreadableLimit(const Worker& worker, const base::Error& error) {
+void Gateway::logUnreadableLimit(const Worker& worker, const base::Error& error) {
   metrics_.count("walnut_gateway_limited_total", "unreadable");
-  if (unreadableLimits_.size() >= kMostUnreadable ||
+  if (unreadableLimits_.size() >= kMaxUnreadableLimits ||
       !unreadableLimits_.insert(worker.view.record.id).second) {
     return;
   }
@@ -55,27 +60,27 @@
                                       {"detail", error.detail}});
 }
 
-void Gateway::noteLimitChange(const std::optional<WorkerLimits::Change>& change,
-                              std::string_view source) {
+void Gateway::logLimitChange(const std::optional<WorkerLimits::Change>& change,
+                             std::string_view source) {
   if (!change) {
     return;
   }
   log_.write(change->perSecond ? LogEvent::workerLimited : LogEvent::workerLimitEnded,
              {{"worker", change->worker.value},
               {"limit", registry::limitText(change->perSecond)},
-              {"former", registry::limitText(change->former)},
+              {"former", registry::limitText(change->previous)},
               {"source", source},
               {"shared", sharesLimits() ? "yes" : "no"},
               {"gateways", std::uint64_t{gateways_}}});
   shareTimer_->enableAt(scheduler_.now() + shareInterval());
 }
 
-/// Called before a view wakes the requests that wait.
-void Gateway::takeLimits(const registry::ViewUpdate& update) {
+/// Applies the limits of a view. Called before the view wakes the waiting requests.
+void Gateway::applyLimits(const registry::ViewUpdate& update) {
   const base::TimePoint now = scheduler_.now();
   limits_.setSharing(sharesLimits(), std::max<std::uint32_t>(1, update.gateways));
   for (const registry::WorkerView& view : update.changed) {
-    noteLimitChange(limits_.told(view.record.id, view.limit, now), "leader");
+    logLimitChange(limits_.leaderAnnounced(view.record.id, view.limit, now), "leader");
   }
   if (limits_.any() && (update.complete || !update.removed.empty())) {
     limits_.forgetIf([this](const registry::WorkerId& worker) {
@@ -88,7 +93,7 @@
   reportLimitsSoon();
 }
 
-/// One report for all that answers in a turn said.
+/// Schedules one report for the limits in all answers within an event loop iteration.
 void Gateway::reportLimitsSoon() {
   if (!std::exchange(limitsSoon_, true)) {
     scheduler_.runSoon([this] {
@@ -109,14 +114,14 @@
 
 // Shares
 
-/// The clock is read: the process may have stood still since the turn of the loop began, for longer
-/// than a share lasts.
-ShareStanding Gateway::standing(const registry::WorkerId& worker) {
+/// Reads the clock instead of the loop's time: the process may have been suspended since the event
+/// loop iteration began, for longer than a granted share is valid.
+ShareState Gateway::shareState(const registry::WorkerId& worker) {
   if (!limits_.any()) {
-    return ShareStanding::open;
+    return ShareState::open;
   }
   limits_.setSharing(sharesLimits(), gateways_);
-  return limits_.standing(worker, scheduler_.readClock());
+  return limits_.shareState(worker, scheduler_.readClock());
 }
 
 base::Duration Gateway::shareRetryAfter(const registry::WorkerId& worker) {
@@ -132,8 +137,8 @@
 void Gateway::shareWaitBegan(const registry::WorkerId& worker) {
   limits_.waitBegan(worker);
   ++shareWaiters_;
-  shareTimer_->enableAt(scheduler_.now() + kShareReview);
-  askForSharesSoon();
+  shareTimer_->enableAt(scheduler_.now() + kShareReviewInterval);
+  requestSharesSoon();
 }
 
 void Gateway::shareWaitEnded(const registry::WorkerId& worker) {
@@ -141,55 +146,56 @@
   --shareWaiters_;
 }
 
-/// One question for all that came within a turn, after what answers said.
-void Gateway::askForSharesSoon() {
+/// Schedules one share request for all requests that came within an event loop iteration, sent
+/// after the report of limits in answers.
+void Gateway::requestSharesSoon() {
   if (!std::exchange(sharesSoon_, true)) {
     scheduler_.runSoon([this] {
       sharesSoon_ = false;
       reportLimits();
-      askForShares(false);
+      requestShares(false);
     });
   }
 }
 
-void Gateway::askForShares(bool all) {
+void Gateway::requestShares(bool all) {
   if (!sharesLimits()) {
     return;
   }
-  if (auto request = limits_.ask(all, scheduler_.readClock())) {
+  if (auto request = limits_.makeRequest(all, scheduler_.readClock())) {
     session_.send(std::move(*request));
   }
 }
 
 base::Duration Gateway::shareInterval() const {
-  return shareWaiters_ > 0 ? kShareReview : QuotaAccount::kInterval;
+  return shareWaiters_ > 0 ? kShareReviewInterval : QuotaAccount::kInterval;
 }
 
 void Gateway::reviewShares() {
-  askForShares(shareWaiters_ == 0);
+  requestShares(shareWaiters_ == 0);
   if (limits_.any()) {
     shareTimer_->enableAt(scheduler_.now() + shareInterval());
   }
 }
 
 void Gateway::sharesGranted(const registry::ShareGrant& grant) {
-  if (!limits_.granted(grant, scheduler_.now())) {
+  if (!limits_.grantReceived(grant, scheduler_.now())) {
     return;
   }
   for (const registry::WorkerId& worker : grant.unlimited) {
-    noteLimitChange(limits_.unlimited(worker), "leader");
+    logLimitChange(limits_.unlimited(worker), "leader");
   }
   wakeShareWaiters();
   if (shareWaiters_ > 0) {
-    askForSharesSoon();
+    requestSharesSoon();
   }
 }
 
-/// The most urgent first, and of these the first to come.
+/// Wakes the exchanges that wait for a share: by priority, and by arrival among equal priorities.
 void Gateway::wakeShareWaiters() {
   std::vector<std::pair<std::uint32_t, std::uint64_t>> waiters;
   for (const auto& [number, exchange] : exchanges_) {
-    if (exchange->waitsForShare()) {
+    if (exchange->isWaitingForShare()) {
       waiters.emplace_back(exchange->priority(), number);
     }
   }
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// A gateway in virtual time, with workers played by the test.
+/// Test harness: a gateway in virtual time, with the test in the role of callers, workers and
+/// leader.
 
 #include <functional>
 #include <map>
@@ -14,11 +15,11 @@
 
 namespace walnut::gateway::testing {
 
-/// Time stands still but for `advance`.
+/// Scheduler in virtual time, which moves by `advance` and `suspendFor` only.
 class ManualScheduler : public event::Scheduler {
  public:
   base::TimePoint now() const override { return now_; }
-  base::TimePoint readClock() const override { return now_ + sleptInTurn_; }
+  base::TimePoint readClock() const override { return now_ + suspendedWithinIteration_; }
   event::TimerPtr createTimer(std::function<void()> callback) override {
     return timers_.create(std::move(callback));
   }
@@ -42,11 +43,11 @@
     }
     now_ = end;
   }
-  /// The machine is suspended within a turn of the loop: only the clock itself tells.
-  void sleepInTurn(base::Duration duration) { sleptInTurn_ = duration; }
-  /// The machine was suspended: time has passed, and no timer has run yet.
-  void wakeAfter(base::Duration duration) { now_ += duration; }
-  /// Runs what is due by now.
+  /// Simulates a suspension within an event loop iteration: only `readClock` shows it.
+  void suspendWithinIteration(base::Duration duration) { suspendedWithinIteration_ = duration; }
+  /// Simulates a suspension between iterations: time has passed, and no timer has run yet.
+  void suspendFor(base::Duration duration) { now_ += duration; }
+  /// Runs the timers that are due.
   void runDue() {
     timers_.runDue(now_);
     settle();
@@ -54,14 +55,15 @@
 
  private:
   base::TimePoint now_ = base::TimePoint(std::chrono::seconds(1000));
-  base::Duration sleptInTurn_{0};
+  base::Duration suspendedWithinIteration_{0};
   event::TimerQueue timers_;
   std::vector<std::function<void()>> deferred_;
 };
 
-/// Fields: Id, Deadline-Ms, Model ("m" or "m/a"), Resume, Key, Tokens (of the prompt), Tenant (the
-/// gateway's own); of answers: Id, Sealed, Not-Run.
-class PlainDialect : public RequestDialect {
+/// Dialect of the tests. Header fields of requests: Id, Deadline-Ms, Model ("m" or "m/a"), Resume,
+/// Key, Tokens (of the prompt), Tenant (set by the gateway only); of responses: Id, Sealed,
+/// Not-Run.
+class TestDialect : public RequestDialect {
  public:
   RequestFacts readRequest(const net::HttpRequest& request) const override {
     RequestFacts facts;
@@ -84,7 +86,7 @@
     request.headers.remove("Tenant");
   }
   std::string callerOf(const net::HttpRequest& request) const override {
-    ++callersAsked;
+    ++callerLookups;
     return text(request.headers, "Caller");
   }
   void writeAttempt(net::HttpRequest& request, const AttemptFacts& facts) const override {
@@ -113,7 +115,7 @@
   }
   bool isReadinessCall(const net::HttpRequest&) const override { return false; }
 
-  mutable std::size_t callersAsked = 0;
+  mutable std::size_t callerLookups = 0;
 
  private:
   static std::string text(const net::HeaderList& headers, const char* name) {
@@ -122,9 +124,9 @@
   }
 };
 
-/// The caller's side of one request.
+/// The caller's side of one request, which records the response.
 struct Caller : net::ResponseSink {
-  int status = 0;  ///< Of the answer; 0: none yet.
+  int status = 0;  ///< Status of the response; 0 before it has come.
   net::HeaderList headers;
   std::string body;
   bool complete = false;
@@ -149,22 +151,23 @@
   void setDrainedCallback(std::function<void()>) override {}
 };
 
-/// What reached a worker.
-struct Sent {
+/// A request that was sent to a worker.
+struct SentRequest {
   registry::WorkerRecord worker;
   net::HttpRequest request;
   net::ResponseCallbacks* callbacks = nullptr;
   bool cancelled = false;
 };
 
+/// Records the requests sent to workers instead of sending them.
 class RecordingLauncher : public AttemptLauncher {
  public:
-  std::vector<std::shared_ptr<Sent>> sent;
+  std::vector<std::shared_ptr<SentRequest>> sent;
 
   std::unique_ptr<Attempt> start(const registry::WorkerRecord& worker,
                                  const net::HttpRequest& request,
                                  net::ResponseCallbacks& callbacks) override {
-    sent.push_back(std::make_shared<Sent>(Sent{worker, request, &callbacks, false}));
+    sent.push_back(std::make_shared<SentRequest>(SentRequest{worker, request, &callbacks, false}));
     return std::make_unique<Recorded>(sent.back());
   }
 
@@ -175,20 +178,21 @@
 
  private:
   struct Recorded : Attempt {
-    explicit Recorded(std::shared_ptr<Sent> entry) : sent(std::move(entry)) {}
+    explicit Recorded(std::shared_ptr<SentRequest> entry) : sent(std::move(entry)) {}
     void cancel() override { sent->cancelled = true; }
     void release() override {}
     void setReading(bool) override {}
-    std::shared_ptr<Sent> sent;
+    std::shared_ptr<SentRequest> sent;
   };
 };
 
-class DemandLink : public RegistryLink {
+/// Records the messages to the registry by type.
+class RecordingRegistryLink : public RegistryLink {
  public:
   std::vector<base::Endpoint> opened;
   std::vector<registry::DemandUpdate> demand;
   std::vector<registry::CutReport> cuts;
-  std::vector<registry::ConfirmDocument> questions;
+  std::vector<registry::ConfirmDocument> confirmRequests;
   std::vector<registry::QuotaRequest> quotas;
   std::vector<registry::LimitSighting> limits;
   std::vector<registry::QuotaRequest> shares;
@@ -200,8 +204,8 @@
       demand.push_back(std::move(*update));
     } else if (auto* report = std::get_if<registry::CutReport>(&message)) {
       cuts.push_back(std::move(*report));
-    } else if (auto* question = std::get_if<registry::ConfirmDocument>(&message)) {
-      questions.push_back(*question);
+    } else if (auto* confirm = std::get_if<registry::ConfirmDocument>(&message)) {
+      confirmRequests.push_back(*confirm);
     } else if (auto* quota = std::get_if<registry::QuotaRequest>(&message)) {
       quotas.push_back(std::move(*quota));
     } else if (auto* seen = std::get_if<registry::LimitReport>(&message)) {
@@ -212,7 +216,7 @@
   }
 };
 
-/// One line of the decision log.
+/// One line of the event log.
 struct LoggedLine {
   runtime::LogEvent event = runtime::LogEvent::processStarted;
   std::map<std::string, std::string, std::less<>> fields;
@@ -230,7 +234,7 @@
     }
     lines.push_back(std::move(line));
   }
-  /// @return the lines of that event.
+  /// @return the lines of one kind of event.
   std::vector<LoggedLine> of(runtime::LogEvent event) const {
     std::vector<LoggedLine> found;
     for (const LoggedLine& line : lines) {
@@ -242,8 +246,8 @@
   }
 };
 
-/// One gateway with a document of one service "svc" and routes /safe/, /once/, /stream/ (may be
-/// resumed) and /bound/ (may not).
+/// A gateway with a document of one service "svc" and the routes /safe/ (repeatable), /once/ (not
+/// repeatable), /stream/ (resumable stream) and /bound/ (non-resumable stream).
 class GatewayHarness {
  public:
   GatewayHarness()
@@ -252,9 +256,9 @@
 
   ManualScheduler scheduler;
   RecordingLauncher launcher;
-  DemandLink link;
+  RecordingRegistryLink link;
   RecordingLog log;
-  PlainDialect dialect;
+  TestDialect dialect;
 
  private:
   runtime::NullMetricsSink metrics_;
@@ -268,7 +272,7 @@
     made.servers = {{"10.0.0.9", 7000}};
     return made;
   }
-  std::uint32_t featureLevel = registry::kFeatureLevel;  ///< Of the leader.
+  std::uint32_t featureLevel = registry::kFeatureLevel;  ///< Supported by the leader.
 
   /// Connects the gateway to the registry's leader.
   void follow() {
@@ -279,14 +283,14 @@
     gateway.start();
   }
 
-  /// The leader is found again after it was lost.
+  /// Connects to the leader again after `loseLeader`.
   void followAgain() {
     const protocol::ConnectionId connection{1};
     session_.opened(connection, link.opened.back(), featureLevel);
     session_.viewReceived(connection, {});
   }
   void loseLeader() { session_.closed(protocol::ConnectionId{1}); }
-  /// Time passes, and the followed leader is heard all the while.
+  /// Advances time while views of the followed leader keep coming.
   void advanceFollowing(base::Duration duration) {
     constexpr base::Duration kStep = std::chrono::milliseconds(100);
     for (base::Duration left = duration; left > base::Duration::zero(); left -= kStep) {
@@ -318,7 +322,7 @@
     return made;
   }
 
-  /// Tells the gateway of a document and of workers w1, w2, ...
+  /// Gives the gateway a document and a complete view of workers w1, w2, ...
   void declare(std::size_t workers, std::uint64_t version = 1) {
     registry::ViewUpdate update;
     update.complete = true;
@@ -344,7 +348,8 @@
     return view;
   }
 
-  /// @return the caller of a request on that route.
+  /// Sends a request to the gateway.
+  /// @return its caller.
   std::unique_ptr<Caller> request(const std::string& routeName, const std::string& id,
                                   const std::string& model = "", const std::string& body = "") {
     net::HttpRequest made;
@@ -363,8 +368,9 @@
     return caller;
   }
 
-  /// The worker's answer begins.
-  bool head(const Sent& sent, int status, const std::string& id, bool sealed, bool notRun = false) {
+  /// Delivers the head of the worker's response.
+  bool head(const SentRequest& sent, int status, const std::string& id, bool sealed,
+            bool notRun = false) {
     net::MessageHead made;
     made.status = status;
     made.headers.add("Id", id);
@@ -376,22 +382,22 @@
     }
     return sent.callbacks->onResponseHead(std::move(made));
   }
-  void answer(const Sent& sent, int status, const std::string& id, const std::string& body) {
+  void answer(const SentRequest& sent, int status, const std::string& id, const std::string& body) {
     head(sent, status, id, true);
     sent.callbacks->onResponseBody(body);
     sent.callbacks->onResponseComplete();
     scheduler.settle();
   }
-  void refuse(const Sent& sent, int status, const std::string& id) {
+  void refuse(const SentRequest& sent, int status, const std::string& id) {
     head(sent, status, id, false, true);
     sent.callbacks->onResponseComplete();
     scheduler.settle();
   }
-  void lose(const Sent& sent) {
+  void lose(const SentRequest& sent) {
     sent.callbacks->onResponseFailure({base::ErrorCode::connectionLost, "", ""}, true);
     scheduler.settle();
   }
-  void unreachable(const Sent& sent) {
+  void unreachable(const SentRequest& sent) {
     sent.callbacks->onResponseFailure({base::ErrorCode::connectFailed, "", ""}, false);
     scheduler.settle();
   }
--- a/test/gateway/late_model_test.cpp
+++ b/test/gateway/late_model_test.cpp
@@ -1,5 +1,5 @@
-/// Requests for a model that is expected only after their callers would have left.
-/// Pattern: a store that takes one load of 18 s at a time, and callers that give up a stream which
+/// Tests of requests for a model that is expected only after their callers have disconnected. Such
+/// a model occurs if a store serves one load of 18 s at a time, and callers abandon a stream that
 /// has not begun after seconds.
 
 #include "gateway/gateway_harness.h"
@@ -19,61 +19,61 @@
     harness.declare(1);
     harness.follow();
   }
-  void tell(base::Duration availableIn) {
+  void announceLateModel(base::Duration availableIn) {
     harness.gateway.lateModelsReceived({{{"svc", "m", availableIn}}});
     harness.scheduler.settle();
   }
 };
 
-TEST(LateModelTest, aCallerThatWouldWaitInVainIsToldAtOnceWhenToComeBack) {
-  tell(18s);
+TEST(LateModelTest, aRequestForALateModelIsRefusedWithRetryAfter) {
+  announceLateModel(18s);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(503, caller->status);
   STRCMP_EQUAL("18.00", caller->headers.find("Retry-After")->c_str());
 }
 
-TEST(LateModelTest, oneThatWaitsAlreadyIsTold) {
+TEST(LateModelTest, aWaitingRequestIsRefusedOnceItsModelIsLate) {
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
-  tell(18s);
+  announceLateModel(18s);
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(LateModelTest, aModelThatComesInTimeIsWaitedFor) {
-  tell(2s);
+TEST(LateModelTest, aRequestWaitsForAModelThatIsInTime) {
+  announceLateModel(2s);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, anotherModelIsWaitedFor) {
-  tell(18s);
+TEST(LateModelTest, aRequestForAnotherModelWaits) {
+  announceLateModel(18s);
   const auto caller = harness.request("bound", "r1", "other");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, theLeadersWordCountsForSecondsOnly) {
-  tell(18s);
+TEST(LateModelTest, theAnnouncementExpires) {
+  announceLateModel(18s);
   harness.advanceFollowing(registry::kLateModelsLast);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, afterASuspensionTheWordIsAsOldAsItIs) {
-  tell(18s);
-  harness.scheduler.wakeAfter(registry::kLateModelsLast);
+TEST(LateModelTest, theAnnouncementExpiresDuringASuspension) {
+  announceLateModel(18s);
+  harness.scheduler.suspendFor(registry::kLateModelsLast);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, theNextWordReplacesIt) {
-  tell(18s);
+TEST(LateModelTest, theNextAnnouncementReplacesTheLast) {
+  announceLateModel(18s);
   harness.gateway.lateModelsReceived({});
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
-TEST(LateModelTest, aModelThatSomebodyServesIsUsedWhateverIsExpected) {
-  tell(18s);
+TEST(LateModelTest, aServedModelIsUsedDespiteTheAnnouncement) {
+  announceLateModel(18s);
   registry::ViewUpdate update;
   update.changed = {GatewayHarness::worker(1)};
   update.changed[0].holdingsKnown = true;
--- a/test/gateway/request_quarantine_test.cpp
+++ b/test/gateway/request_quarantine_test.cpp
@@ -1,4 +1,4 @@
-/// How a gateway treats requests that are known, or suspected, to crash their workers.
+/// Tests of how a gateway treats requests that crash their workers, or are suspected of it.
 
 #include "gateway/request_quarantine.h"
 
@@ -22,8 +22,8 @@
     harness.follow();
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
-  /// @return the digest of the request that `harness.request` makes.
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
+  /// @return the digest of the request that `harness.request` sends.
   registry::RequestDigest digestFor(const std::string& route, const std::string& body) {
     net::HttpRequest request;
     request.method = "POST";
@@ -31,10 +31,10 @@
     request.body = body;
     return digestOf(harness.dialect.callerOf(request), request);
   }
-  void tell(RequestStanding standing, const std::string& route, const std::string& body,
-            base::Duration lasts = 60s) {
+  void announceSuspect(RequestStanding standing, const std::string& route, const std::string& body,
+                       base::Duration duration = 60s) {
     registry::SuspectList list;
-    list.requests.push_back({digestFor(route, body), standing, 3, lasts});
+    list.requests.push_back({digestFor(route, body), standing, 3, duration});
     harness.gateway.suspectsReceived(list);
     harness.scheduler.settle();
   }
@@ -44,17 +44,17 @@
   }
 };
 
-TEST(RequestQuarantineTest, aCalmGatewayComputesAndSendsNothing) {
+TEST(RequestQuarantineTest, withoutSuspectsNothingIsComputedOrSent) {
   const auto first = request("once", "r1");
   harness.answer(lastSent(), 200, "r1", "x");
   const auto second = request("stream", "r2");
   harness.refuse(lastSent(), 503, "r2");
   harness.advanceFollowing(1s);
-  CHECK_EQUAL(0, harness.dialect.callersAsked);
+  CHECK_EQUAL(0, harness.dialect.callerLookups);
   CHECK(harness.link.cuts.empty());
 }
 
-TEST(RequestQuarantineTest, aCutRequestIsToldOnceToEachLeader) {
+TEST(RequestQuarantineTest, aCutRequestIsReportedOnceToEachLeader) {
   const auto caller = request("once", "r1");
   harness.lose(lastSent());
   harness.advanceFollowing(1s);
@@ -67,9 +67,9 @@
   CHECK(harness.link.cuts[1].cuts[0].age >= 1900ms);
 }
 
-TEST(RequestQuarantineTest, whatIsCutTogetherIsToldTogether) {
+TEST(RequestQuarantineTest, requestsCutTogetherAreReportedTogether) {
   const auto first = request("once", "r1", "one");
-  const Sent sent = lastSent();
+  const SentRequest sent = lastSent();
   const auto second = request("once", "r2", "two");
   sent.callbacks->onResponseFailure({base::ErrorCode::connectionLost, "", ""}, true);
   lastSent().callbacks->onResponseFailure({base::ErrorCode::connectionLost, "", ""}, true);
@@ -78,7 +78,7 @@
   CHECK_EQUAL(2, harness.link.cuts[0].cuts.size());
 }
 
-TEST(RequestQuarantineTest, aStreamThatHadAnEventIsNoSuspect) {
+TEST(RequestQuarantineTest, aCutStreamThatHadAnEventIsNotReported) {
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   lastSent().callbacks->onResponseBody("id: 1\n\n");
@@ -86,15 +86,15 @@
   CHECK(harness.link.cuts.empty());
 }
 
-TEST(RequestQuarantineTest, aHeadWithoutAnEventIsNoAnswer) {
+TEST(RequestQuarantineTest, aCutStreamThatHadOnlyAHeadIsReported) {
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   harness.lose(lastSent());
   CHECK_EQUAL(1, harness.link.cuts.size());
 }
 
-TEST(RequestQuarantineTest, aQuarantinedRequestIsRefusedAsNotRunForAsLongAsThatLasts) {
-  tell(RequestStanding::quarantined, "once", "same", 60s);
+TEST(RequestQuarantineTest, aQuarantinedRequestIsRefusedWithTheRemainingTime) {
+  announceSuspect(RequestStanding::quarantined, "once", "same", 60s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
@@ -103,8 +103,8 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(RequestQuarantineTest, aHeldRequestWaitsUntilMoreIsKnown) {
-  tell(RequestStanding::held, "once", "same", 2s);
+TEST(RequestQuarantineTest, aHeldRequestWaitsUntilItsHoldExpires) {
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
   harness.advanceFollowing(1900ms);
   CHECK_EQUAL(0, sentCount());
@@ -113,8 +113,8 @@
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(RequestQuarantineTest, aHeldRequestGoesOnAsSoonAsItIsCleared) {
-  tell(RequestStanding::held, "once", "same", 2s);
+TEST(RequestQuarantineTest, aHeldRequestIsSentAsSoonAsItIsCleared) {
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
   harness.gateway.suspectsReceived({});
   harness.scheduler.settle();
@@ -122,30 +122,30 @@
 }
 
 TEST(RequestQuarantineTest, aHeldRequestIsRefusedAsSoonAsItIsQuarantined) {
-  tell(RequestStanding::held, "once", "same", 2s);
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   const auto caller = request("once", "r1");
-  tell(RequestStanding::quarantined, "once", "same");
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   CHECK_EQUAL(0, sentCount());
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(RequestQuarantineTest, aHeldRequestWithoutTheTimeToWaitIsRefusedAtOnce) {
-  tell(RequestStanding::held, "once", "same", 6s);
+TEST(RequestQuarantineTest, aHeldRequestWithTooShortADeadlineIsRefusedAtOnce) {
+  announceSuspect(RequestStanding::held, "once", "same", 6s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(503, caller->status);
   STRCMP_EQUAL("6.00", caller->headers.find("Retry-After")->c_str());
 }
 
-TEST(RequestQuarantineTest, whatIsWithAWorkerIsLeftThereWhileItIsHeld) {
+TEST(RequestQuarantineTest, aRequestAtAWorkerIsNotCancelledWhenHeld) {
   const auto caller = request("once", "r1");
-  tell(RequestStanding::held, "once", "same", 2s);
+  announceSuspect(RequestStanding::held, "once", "same", 2s);
   CHECK_FALSE(lastSent().cancelled);
   harness.answer(lastSent(), 200, "r1", "x");
   CHECK_EQUAL(200, caller->status);
 }
 
-TEST(RequestQuarantineTest, aSuspectGoesOnAndIsToldOfOnceItIsAnswered) {
-  tell(RequestStanding::suspected, "once", "same");
+TEST(RequestQuarantineTest, aSuspectIsSentAndReportedOnceAnswered) {
+  announceSuspect(RequestStanding::suspected, "once", "same");
   const auto caller = request("once", "r1");
   harness.answer(lastSent(), 200, "r1", "x");
   CHECK_EQUAL(200, caller->status);
@@ -153,8 +153,8 @@
   CHECK(harness.link.cuts[0].answered[0] == digestFor("once", "same"));
 }
 
-TEST(RequestQuarantineTest, anErrorOfTheWorkersOwnIsAnAnswerToo) {
-  tell(RequestStanding::suspected, "once", "same");
+TEST(RequestQuarantineTest, aWorkersErrorCountsAsAnswered) {
+  announceSuspect(RequestStanding::suspected, "once", "same");
   const auto caller = request("once", "r1");
   harness.answer(lastSent(), 500, "r1", "x");
   CHECK_EQUAL(500, caller->status);
@@ -162,7 +162,7 @@
   CHECK_EQUAL(1, harness.link.cuts[0].answered.size());
 }
 
-TEST(RequestQuarantineTest, whetherItHadBegunIsToldAndLogged) {
+TEST(RequestQuarantineTest, receiptOfTheHeadIsReportedAndLogged) {
   const auto queued = request("bound", "r1");
   harness.lose(lastSent());
   const auto begun = request("bound", "r2", "other");
@@ -175,48 +175,48 @@
   STRCMP_EQUAL("yes", lines[1].fields.at("begun").c_str());
 }
 
-TEST(RequestQuarantineTest, whatIsQueuedAtAWorkerIsTakenBack) {
+TEST(RequestQuarantineTest, aQuarantinedRequestQueuedAtAWorkerIsCancelled) {
   const auto caller = request("once", "r1");
-  tell(RequestStanding::quarantined, "once", "same");
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   CHECK(lastSent().cancelled);
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(RequestQuarantineTest, whatIsBeingAnsweredGoesOn) {
+TEST(RequestQuarantineTest, aQuarantinedRequestThatIsBeingAnsweredContinues) {
   const auto caller = request("bound", "r1");
   harness.head(lastSent(), 200, "r1", true);
   lastSent().callbacks->onResponseBody("id: 1\n\n");
-  tell(RequestStanding::quarantined, "bound", "same");
+  announceSuspect(RequestStanding::quarantined, "bound", "same");
   CHECK_FALSE(lastSent().cancelled);
 }
 
-TEST(RequestQuarantineTest, whatWaitsForAWorkerIsRefusedAtOnce) {
+TEST(RequestQuarantineTest, aQuarantinedWaitingRequestIsRefusedAtOnce) {
   const auto caller = harness.request("bound", "r1", "m", "same");
   CHECK_EQUAL(0, sentCount());
-  tell(RequestStanding::quarantined, "bound", "same");
+  announceSuspect(RequestStanding::quarantined, "bound", "same");
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(RequestQuarantineTest, aCutRequestIsNotRepeatedWhileItIsHeld) {
+TEST(RequestQuarantineTest, aCutRequestIsNotRetriedWhileHeld) {
   const auto caller = request("safe", "r1");
-  tell(RequestStanding::held, "safe", "same", 2s);
+  announceSuspect(RequestStanding::held, "safe", "same", 2s);
   harness.lose(lastSent());
   CHECK_EQUAL(1, sentCount());
-  tell(RequestStanding::quarantined, "safe", "same");
+  announceSuspect(RequestStanding::quarantined, "safe", "same");
   CHECK_EQUAL(1, sentCount());
   CHECK_EQUAL(502, caller->status);
 }
 
-TEST(RequestQuarantineTest, verdictsAreKeptWhileThereIsNoLeader) {
-  tell(RequestStanding::quarantined, "once", "same");
+TEST(RequestQuarantineTest, classificationsAreKeptWithoutALeader) {
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   harness.scheduler.advance(5s);
   const auto caller = request("once", "r1");
   CHECK_EQUAL(503, caller->status);
   CHECK_EQUAL(0, sentCount());
 }
 
-TEST(RequestQuarantineTest, aNewLeadersWordReplacesThem) {
-  tell(RequestStanding::quarantined, "once", "same");
+TEST(RequestQuarantineTest, aNewLeadersListReplacesTheClassifications) {
+  announceSuspect(RequestStanding::quarantined, "once", "same");
   harness.gateway.leaderFollowed(true);
   const auto refused = request("once", "r1");
   CHECK_EQUAL(503, refused->status);
