--- a/test/routing/demand_reporter_test.cpp
+++ b/test/routing/demand_reporter_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a router tells the leader of its demand, and when.
+/// Tests which demand a router reports to the leader, and when.
 
 #include "routing/demand_reporter.h"
 
@@ -17,17 +17,18 @@
 constexpr base::Duration kStep = std::chrono::milliseconds(200);
 constexpr LeaderSession kLeader{{7}, 1};
 
-/// A reporter over one model, in virtual time.
+/// A reporter for one model, in virtual time.
 class Fixture {
  public:
   Fixture() {
     view_.applyPage({1}, protocol::WatchSnapshotPage{1, 0, true, {modelChange("m", "v1")}});
-    reporter_.leaderChanged(now_, kLeader);
-    CHECK_TRUE(run().value().complete);
+    reporter_.setLeader(now_, kLeader);
+    CHECK_TRUE(runInterval().value().complete);
   }
 
-  /// Lets the time pass to the next interval. @return the report sent then.
-  std::optional<protocol::DemandReport> run() {
+  /// Advances the time to the next interval.
+  /// @return the report sent then.
+  std::optional<protocol::DemandReport> runInterval() {
     now_ += kStep;
     std::vector<RouterAction> actions;
     reporter_.tick(now_, targets_, queue_, view_, requests_, selector_, actions);
@@ -36,11 +37,11 @@
     }
     return std::get<protocol::DemandReport>(std::get<SendToController>(actions.front()).message);
   }
-  /// @return entries sent within the next `intervals`.
+  /// @return the entries sent within the next `intervals`.
   std::vector<protocol::Demand> entriesWithin(int intervals) {
     std::vector<protocol::Demand> entries;
     for (int number = 0; number < intervals; ++number) {
-      const auto report = run();
+      const auto report = runInterval();
       if (report.has_value()) {
         entries.insert(entries.end(), report->entries.begin(), report->entries.end());
       }
@@ -50,18 +51,18 @@
   void setRunning(std::uint32_t running) {
     targets_["m"].running = running;
     targets_["m"].lastArrival = now_;
-    reporter_.changed("m");
+    reporter_.markChanged("m");
   }
-  void setMoving(std::uint32_t moving) {
-    targets_["m"].moving = moving;
-    reporter_.changed("m");
+  void setNeedingReplica(std::uint32_t needingReplica) {
+    targets_["m"].needingReplica = needingReplica;
+    reporter_.markChanged("m");
   }
   void refuseUntil(base::TimePoint until) {
     targets_["m"].refusedDemandUntil = until;
-    reporter_.changed("m");
+    reporter_.markChanged("m");
   }
-  /// A stream that began with `version` waits for an engine from now on.
-  Request& streamWaits(const std::string& version) {
+  /// Adds a stream that began with `version` and waits for an engine from now on.
+  Request& addWaitingStream(const std::string& version) {
     CallerRequest caller;
     caller.request = {"stream"};
     caller.target = "m";
@@ -91,49 +92,49 @@
 
 TEST_GROUP(DemandReporter){};
 
-TEST(DemandReporter, idleRouterOnlyTellsThatItIsAlive) {
+TEST(DemandReporter, idleRouterSendsOnlyHeartbeats) {
   Fixture fixture;
   int reports = 0;
   for (int number = 0; number < 50; ++number) {
-    const auto report = fixture.run();
+    const auto report = fixture.runInterval();
     reports += report.has_value() ? 1 : 0;
     CHECK_TRUE(!report.has_value() || (report->entries.empty() && !report->complete));
   }
   CHECK_EQUAL(10, reports);
 }
 
-TEST(DemandReporter, whatBecameOfAttemptsIsToldOnceAndFailuresSoon) {
+TEST(DemandReporter, attemptOutcomesAreReportedOnceAndFailuresPromptly) {
   Fixture fixture;
   fixture.entriesWithin(5);
-  fixture.selector().succeeded({"e1"});
-  fixture.selector().failed(fixture.now(), {"e2"});
-  const auto report = fixture.run();
+  fixture.selector().recordSuccess({"e1"});
+  fixture.selector().recordFailure(fixture.now(), {"e2"});
+  const auto report = fixture.runInterval();
   CHECK_EQUAL(2U, report.value().outcomes.size());
   CHECK_EQUAL(1U, report.value().outcomes[0].answered);
   CHECK_EQUAL(1U, report.value().outcomes[1].failed);
-  fixture.selector().succeeded({"e1"});
-  CHECK_FALSE(fixture.run().has_value());
+  fixture.selector().recordSuccess({"e1"});
+  CHECK_FALSE(fixture.runInterval().has_value());
 }
 
-TEST(DemandReporter, waitingIsReportedInTheNextInterval) {
+TEST(DemandReporter, waitingStreamIsReportedInTheNextInterval) {
   Fixture fixture;
-  fixture.setMoving(1);
-  const auto report = fixture.run();
+  fixture.setNeedingReplica(1);
+  const auto report = fixture.runInterval();
   CHECK_EQUAL(1U, report.value().entries.at(0).waitingInteractive);
-  fixture.setMoving(0);
-  CHECK_EQUAL(0U, fixture.run().value().entries.at(0).waitingInteractive);
+  fixture.setNeedingReplica(0);
+  CHECK_EQUAL(0U, fixture.runInterval().value().entries.at(0).waitingInteractive);
 }
 
-TEST(DemandReporter, waitingThatDoesNotChangeIsReportedOnce) {
+TEST(DemandReporter, unchangedWaitingCountIsReportedOnce) {
   Fixture fixture;
-  fixture.setMoving(1);
+  fixture.setNeedingReplica(1);
   CHECK_EQUAL(1U, fixture.entriesWithin(100).size());
 }
 
-TEST(DemandReporter, refusedDemandEndsByTimeAlone) {
+TEST(DemandReporter, refusedDemandExpiresWithoutAnyEvent) {
   Fixture fixture;
   fixture.refuseUntil(fixture.now() + 5 * kStep);
-  CHECK_EQUAL(1U, fixture.run().value().entries.at(0).waitingInteractive);
+  CHECK_EQUAL(1U, fixture.runInterval().value().entries.at(0).waitingInteractive);
   const auto later = fixture.entriesWithin(10);
   CHECK_EQUAL(1U, later.size());
   CHECK_EQUAL(0U, later.front().waitingInteractive);
@@ -156,7 +157,7 @@
   fixture.setRunning(20);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
   fixture.setRunning(30);
-  CHECK_EQUAL(30U, fixture.run().value().entries.at(0).running);
+  CHECK_EQUAL(30U, fixture.runInterval().value().entries.at(0).running);
 }
 
 TEST(DemandReporter, endOfTheLastRequestIsReportedInTime) {
@@ -169,34 +170,34 @@
   CHECK_EQUAL(0U, entries.front().running);
 }
 
-TEST(DemandReporter, newTermOfTheLeaderGetsEverything) {
+TEST(DemandReporter, newLeaderTermGetsACompleteReport) {
   Fixture fixture;
   fixture.setRunning(3);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
-  fixture.reporter().leaderChanged(fixture.now(), LeaderSession{kLeader.connection, 2});
-  const auto report = fixture.run();
+  fixture.reporter().setLeader(fixture.now(), LeaderSession{kLeader.connection, 2});
+  const auto report = fixture.runInterval();
   CHECK_TRUE(report.value().complete);
   CHECK_EQUAL(3U, report.value().entries.at(0).running);
 }
 
-TEST(DemandReporter, targetThatIsNoLongerServedIsTakenFromTheLeader) {
+TEST(DemandReporter, targetThatIsNoLongerServedIsRemovedAtTheLeader) {
   Fixture fixture;
   fixture.setRunning(3);
   CHECK_EQUAL(1U, fixture.entriesWithin(1).size());
   protocol::ResourceDeleted deletion{{resource::Kind::model, "m"}};
   fixture.view().applyDelta({1, 2, {deletion}});
-  fixture.reporter().changed("m");
+  fixture.reporter().markChanged("m");
   bool dropped = false;
   for (int number = 0; number < 2; ++number) {
-    const auto report = fixture.run();
+    const auto report = fixture.runInterval();
     dropped = dropped || (report.has_value() && report->complete && report->entries.empty());
   }
   CHECK_TRUE(dropped);
 }
 
-TEST(DemandReporter, aStreamOfAFormerVersionIsToldWithItsVersionUntilItGoesOn) {
+TEST(DemandReporter, streamOfAPreviousVersionIsReportedWithItsVersionUntilItResumes) {
   Fixture fixture;
-  Request& stream = fixture.streamWaits("v0");
+  Request& stream = fixture.addWaitingStream("v0");
   const std::vector<protocol::Demand> begun = fixture.entriesWithin(3);
   CHECK_EQUAL(1U, begun.size());
   STRCMP_EQUAL("v0", begun[0].version.c_str());
@@ -208,8 +209,8 @@
   CHECK_EQUAL(0U, ended[0].waitingInteractive);
 }
 
-TEST(DemandReporter, aStreamOfTheActiveVersionIsNotToldApart) {
+TEST(DemandReporter, streamOfTheActiveVersionIsNotReportedSeparately) {
   Fixture fixture;
-  fixture.streamWaits("v1");
+  fixture.addWaitingStream("v1");
   CHECK_EQUAL(0U, fixture.entriesWithin(3).size());
 }
