--- a/src/registry/leader_orders.cpp
+++ b/src/registry/leader_orders.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a leader's duties that orders workers: what it must know before, what it sends, and
-/// what it learns from the answers and from reports.
+/// The part of the leader's tasks that sends orders to workers: the reports it needs before an
+/// order, the orders themselves, and the handling of their outcomes and of workers' reports.
 
 #include <algorithm>
 #include <utility>
@@ -13,15 +13,17 @@
 
 using runtime::LogEvent;
 
-/// A worker that refused an order is not ordered again for this long.
+/// Pause after a refused order until the worker is sent another.
 constexpr base::Duration kRefusedPause = std::chrono::milliseconds(200);
-/// Beyond a load's expected time, before its worker is asked for it: its heartbeat may be late.
-constexpr base::Duration kOrderMargin = std::chrono::milliseconds(1500);
-/// An unload of an idle model, as seen in logs; of one that has requests, which it waits for.
+/// Time beyond the expected end of a load until a report is requested from its worker, whose
+/// heartbeat may be late.
+constexpr base::Duration kLoadReportDelay = std::chrono::milliseconds(1500);
+/// Typical duration of an unload of an idle model, as seen in logs, and of a model with running
+/// requests, for which the unload waits.
 constexpr base::Duration kUnloadTime = std::chrono::milliseconds(60);
 constexpr base::Duration kUnloadOfBusyModel = std::chrono::seconds(1);
-/// For an unload, which waits for the requests that run.
-constexpr base::Duration kUnloadPatience = std::chrono::seconds(4);
+/// Time until a report is requested about an unload, which waits for the running requests.
+constexpr base::Duration kUnloadReportDelay = std::chrono::seconds(4);
 
 std::string_view outcomeName(OrderOutcome outcome) {
   switch (outcome) {
@@ -123,14 +125,15 @@
   }
 }
 
-/// Only a worker whose count of orders is known can be ordered.
+/// Orders carry the worker's order count, so only a worker whose count is known can be ordered.
 bool LeaderDuties::needsReport(const WorkerRecord& record, const WorkerStatus& status,
                                base::TimePoint now) const {
   return !outOfService(record) && !status.silent && !status.reportFresh && !status.sentOrder &&
          now >= status.orderAgainAt && mayOrder(record.id, now);
 }
 
-/// Of a large service, plans ask those that they may order.
+/// Requests missing reports from all workers of small services. For a large service the planner
+/// requests reports only from the workers that it may order.
 void LeaderDuties::refreshReports(base::TimePoint now) {
   if (document_ == nullptr) {
     return;
@@ -161,14 +164,14 @@
       continue;
     }
     if (status.modelOrder && now >= status.modelOrder->dueAt && !status.silent) {
-      status.modelOrder->dueAt = now + kOrderMargin;
+      status.modelOrder->dueAt = now + kLoadReportDelay;
       requestReport(*record, status);
     }
     ++next;
   }
 }
 
-/// @return how long the order will take its worker, as far as is known.
+/// @return the expected duration of the order, or a default if the model isn't declared.
 base::Duration LeaderDuties::expectedTime(const PlacementStep& step, const WorkerRecord& record,
                                           const WorkerStatus& status) const {
   if (step.operation == OrderOperation::unload) {
@@ -176,7 +179,7 @@
   }
   const catalog::Service* service = document_ ? document_->findService(record.service) : nullptr;
   if (service == nullptr || !service->engine) {
-    return kUnloadPatience;
+    return kUnloadReportDelay;
   }
   for (const catalog::ModelSpec& model : service->engine->models) {
     if (model.name == step.model) {
@@ -185,26 +188,27 @@
                                               : model.diskLoadTime;
     }
   }
-  return kUnloadPatience;
+  return kUnloadReportDelay;
 }
 
-/// The load that its worker was ordered will not be heard of again.
+/// Removes the worker's load from the store's scheduler, since its end will not be reported.
 void LeaderDuties::forgetLoad(const WorkerRecord& record) {
   const auto store = stores_.find(record.service);
   if (store != stores_.end()) {
-    store->second.abandoned(record.id);
+    store->second.recordAbandoned(record.id);
   }
 }
 
-/// A worker that ended before its load did may have ended by it. The load takes no place of the
-/// store any more: kept, it would look later and later, and the store crowded.
+/// Records that a worker ended during a load, which may have been the cause. The load no longer
+/// counts as in progress: otherwise it would seem later and later, and the store overloaded.
 void LeaderDuties::noteEnded(const WorkerId& id, const WorkerStatus& status, base::TimePoint now) {
   if (!status.unfinishedLoad) {
     return;
   }
   const UnfinishedLoad& load = *status.unfinishedLoad;
-  storeOf(load.service).abandoned(id);
-  const base::Duration pause = backoffs_[load.service].workerEnded(load.model, load.orderedAt, now);
+  storeOf(load.service).recordAbandoned(id);
+  const base::Duration pause =
+      backoffs_[load.service].recordWorkerEnd(load.model, load.orderedAt, now);
   const auto age =
       std::chrono::duration_cast<std::chrono::milliseconds>(now - load.orderedAt).count();
   const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(pause).count();
@@ -235,35 +239,36 @@
   noteChanged(step.worker);
   changesAt_.emplace(now + options_.adapterSettleTime, step.worker);
   planSoon_ = true;
-  const bool ofModel = step.adapter.empty();
-  const bool taken =
+  const bool isModelOrder = step.adapter.empty();
+  const bool mayTakeEffect =
       finished.outcome == OrderOutcome::accepted || finished.outcome == OrderOutcome::unclear;
-  if (step.fromStore && !taken) {
+  if (step.fromStore && !mayTakeEffect) {
     forgetLoad(*record);
   }
-  if (!taken && ofModel) {
+  if (!mayTakeEffect && isModelOrder) {
     status.unfinishedLoad.reset();
   }
   switch (finished.outcome) {
     case OrderOutcome::accepted:
       ++status.orderCount;
-      if (ofModel) {
+      if (isModelOrder) {
         const bool load = step.operation == OrderOperation::load;
         const base::Duration expected = expectedTime(step, *record, status);
-        const base::Duration patience = load ? expected + kOrderMargin : kUnloadPatience;
-        status.modelOrdered(step, now, now + expected, now + patience);
+        const base::Duration reportDelay = load ? expected + kLoadReportDelay : kUnloadReportDelay;
+        status.modelOrdered(step, now, now + expected, now + reportDelay);
         busyWorkers_.insert(step.worker);
-        storeOf(record->service).accepted(step.worker, now);
+        storeOf(record->service).recordAccepted(step.worker, now);
       } else {
         status.adapterOrdered(step, now, options_.adapterSettleTime);
       }
       return;
     case OrderOutcome::alreadyDone:
-      if (ofModel) {
+      if (isModelOrder) {
         status.modelOrderDone(step);
         status.reportFresh = false;
       } else {
-        // An adapter that is unloaded at once counts as an order; one that is there does not.
+        // The worker counts an adapter unload that took effect at once as an order, but not a load
+        // of an adapter that is already present.
         status.orderCount += step.operation == OrderOperation::unload ? 1 : 0;
         status.adapterOrdered(step, now, base::Duration::zero());
       }
@@ -272,7 +277,7 @@
       fenced_ = true;
       return;
     case OrderOutcome::busy:
-      if (!ofModel && status.modelOrder && !status.adaptersBlocked) {
+      if (!isModelOrder && status.modelOrder && !status.adaptersBlocked) {
         status.adaptersBlocked = true;
         return;
       }
@@ -281,7 +286,7 @@
       return;
     case OrderOutcome::unclear:
       if (step.fromStore) {
-        storeOf(record->service).unclear(step.worker, now);
+        storeOf(record->service).recordUnclear(step.worker, now);
       }
       [[fallthrough]];
     case OrderOutcome::misdirected:
@@ -328,7 +333,7 @@
     status.orderAgainAt = now + kRefusedPause;
   }
   if (report.orderUnderWay && !status.modelOrder) {
-    // An order of a former leader: nothing is known of it but that it is under way.
+    // The order is from a previous leader. Nothing is known but that it is in progress.
     status.reportFresh = false;
     status.orderAgainAt = now + kRefusedPause;
   }
@@ -344,14 +349,14 @@
     return;
   }
   if (ended->operation == OrderOperation::load && status.unfinishedLoad) {
-    backoffs_[status.unfinishedLoad->service].loaded(ended->model);
+    backoffs_[status.unfinishedLoad->service].recordSuccess(ended->model);
     status.unfinishedLoad.reset();
   }
   const auto millis =
       std::chrono::duration_cast<std::chrono::milliseconds>(now - ended->acceptedAt).count();
   const WorkerRecord* record = state_.findWorker(id);
   StoreScheduler* store = record == nullptr ? nullptr : &storeOf(record->service);
-  const double lateness = store == nullptr ? 0 : store->ended(id, now);
+  const double lateness = store == nullptr ? 0 : store->recordEnd(id, now);
   log_.write(LogEvent::modelOrderEnded, {{"worker", id.value},
                                          {"operation", operationName(ended->operation)},
                                          {"model", ended->model},
--- a/src/registry/leader_plans.cpp
+++ b/src/registry/leader_plans.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a leader's duties that plans: who is looked at, what is decided, and what of it is
-/// told.
+/// The part of the leader's tasks that plans placement: it selects the workers to consider, runs
+/// the policy and logs the decisions.
 
 #include <algorithm>
 #include <utility>
@@ -16,51 +16,53 @@
 constexpr base::Duration kPlanSpacing = std::chrono::milliseconds(15);
 constexpr base::Duration kPlanSpacingPerWorker = std::chrono::microseconds(500);
 
-/// Of a worker that has an order under way: an order and its answer.
-constexpr base::Duration kLeastBusyTime = std::chrono::milliseconds(50);
+/// Least time for which a worker with an order in progress counts as busy: the round trip of an
+/// order.
+constexpr base::Duration kMinBusyTime = std::chrono::milliseconds(50);
 
 constexpr double kPercent = 100;
 constexpr double kMillis = 1000;
 
 std::uint64_t rounded(double value) {
-  constexpr double kMost = 1e12;
-  return static_cast<std::uint64_t>(std::clamp(value, 0.0, kMost));
+  constexpr double kMaxLogged = 1e12;
+  return static_cast<std::uint64_t>(std::clamp(value, 0.0, kMaxLogged));
 }
 
-std::string_view reasonName(WantReason reason) {
+std::string_view reasonName(PlacementReason reason) {
   switch (reason) {
-    case WantReason::spare:
+    case PlacementReason::spare:
       return "spare";
-    case WantReason::queueing:
+    case PlacementReason::queueing:
       return "queueing";
-    case WantReason::cold:
+    case PlacementReason::cold:
       return "cold";
   }
   return "unknown";
 }
 
-std::string_view outcomeName(WantOutcome outcome) {
+std::string_view outcomeName(PlacementOutcome outcome) {
   switch (outcome) {
-    case WantOutcome::loaded:
+    case PlacementOutcome::loadOrdered:
       return "loaded";
-    case WantOutcome::roomMade:
+    case PlacementOutcome::unloadOrdered:
       return "room-made";
-    case WantOutcome::waitsForWorker:
+    case PlacementOutcome::waitsForWorker:
       return "waits-for-worker";
-    case WantOutcome::waitsForUse:
+    case PlacementOutcome::waitsForRequests:
       return "waits-for-use";
-    case WantOutcome::waitsForStore:
+    case PlacementOutcome::waitsForStore:
       return "waits-for-store";
-    case WantOutcome::notWorth:
+    case PlacementOutcome::tooCostly:
       return "not-worth";
-    case WantOutcome::noWorker:
+    case PlacementOutcome::noWorker:
       return "no-worker";
   }
   return "unknown";
 }
 
-void noteOrder(PlacementWorker& worker, OrderOperation operation, const std::string& model) {
-  (operation == OrderOperation::load ? worker.arriving : worker.retiring) = model;
+void setOrderInProgress(PlacementWorker& worker, OrderOperation operation,
+                        const std::string& model) {
+  (operation == OrderOperation::load ? worker.loadingModel : worker.unloadingModel) = model;
 }
 
 base::Duration longestLoad(const catalog::EngineSpec& engine) {
@@ -71,7 +73,7 @@
   return longest;
 }
 
-/// @return for how long a caller of that service waits at most.
+/// @return the longest time that a caller of the service waits.
 base::Duration longestTimeout(const catalog::Document& document, const std::string& service) {
   base::Duration longest{0};
   for (const catalog::Route& route : document.routes) {
@@ -83,25 +85,28 @@
   return longest;
 }
 
-/// @return until the order under way is expected to end. One that is overdue is taken to need as
-/// long again as it is late.
+/// @return the time until the order in progress is expected to end. An overdue order is assumed to
+/// take as long again as it is late.
 base::Duration busyTime(const WorkerStatus& status, base::TimePoint now) {
   if (status.modelOrder) {
     const base::TimePoint end = status.modelOrder->expectedEnd;
-    return std::max<base::Duration>(kLeastBusyTime, end > now ? end - now : now - end);
+    return std::max<base::Duration>(kMinBusyTime, end > now ? end - now : now - end);
   }
-  return status.sentOrder || status.foreignOrder ? kLeastBusyTime : base::Duration::zero();
+  return status.sentOrder || status.foreignOrder ? kMinBusyTime : base::Duration::zero();
 }
 
 }  // namespace
 
-/// Planning takes time in proportion to the workers; the spacing keeps its share of a core bounded.
+/// @return the least time between two plans. Planning time is proportional to the number of
+/// workers; so is the spacing, which bounds the share of a core that planning takes.
 base::Duration LeaderDuties::planSpacing() const {
   return kPlanSpacing + kPlanSpacingPerWorker * plannedWorkers();
 }
 
-/// @return workers that plans look at, at most.
-std::size_t LeaderDuties::plannedWorkers() const { return std::min(workers_.size(), kMostPlanned); }
+/// @return the most workers that a plan considers.
+std::size_t LeaderDuties::plannedWorkers() const {
+  return std::min(workers_.size(), kMaxPlannedWorkers);
+}
 
 void LeaderDuties::plan(base::TimePoint now) {
   if (document_ == nullptr) {
@@ -115,7 +120,7 @@
 }
 
 bool LeaderDuties::isLarge(const std::string& service) const {
-  return index_.of(service).size() > kMostPlanned;
+  return index_.of(service).size() > kMaxPlannedWorkers;
 }
 
 void LeaderDuties::planService(const catalog::Service& service, base::TimePoint now) {
@@ -142,14 +147,14 @@
       continue;
     }
     WorkerStatus& status = statusOf(id, now);
-    const bool target = pool.targets.count(id) != 0;
-    if ((target || pool.adapterHolders.count(id) != 0) && needsReport(*record, status, now)) {
+    const bool target = pool.loadTargets.count(id) != 0;
+    if ((target || pool.adapterTargets.count(id) != 0) && needsReport(*record, status, now)) {
       requestReport(*record, status);
     }
     workers.push_back(placementWorker(*record, status, now));
-    workers.back().mayLoad = target;
+    workers.back().canLoadModels = target;
   }
-  decide(service, workers, pool.outside, now);
+  decide(service, workers, pool.otherHolders, now);
 }
 
 void LeaderDuties::decide(const catalog::Service& service,
@@ -158,7 +163,7 @@
                           base::TimePoint now) {
   PlacementPolicy& policy = policies_.try_emplace(service.name, service.name).first->second;
   StoreScheduler& store = storeOf(service.name);
-  store.setPatience(longestLoad(*service.engine), longestTimeout(*document_, service.name));
+  store.setLongestTimes(longestLoad(*service.engine), longestTimeout(*document_, service.name));
   store.setLimit(service.engine->storeLoadsPerSecond,
                  {options_.storeWindow, options_.storeOvershoot}, now);
   countForeignLoads(service, store);
@@ -173,7 +178,7 @@
   return stores_.try_emplace(service, formerLoads()).first->second;
 }
 
-/// One line for each change of what is decided about a model, with what decided it.
+/// Logs one line for each change of the decision on a model, with the figures behind it.
 void LeaderDuties::logDecisions(PlacementPolicy& policy, const StoreScheduler& store,
                                 base::TimePoint now) {
   const auto storeWait =
@@ -184,22 +189,22 @@
                 {"reason", reasonName(decision.reason)},
                 {"outcome", outcomeName(decision.outcome)},
                 {"waiting", decision.waiting},
-                {"unanswered", decision.unanswered},
+                {"unanswered", decision.unservedRequests},
                 {"queued", rounded(decision.queued)},
                 {"rate-percent", rounded(kPercent * decision.rate)},
                 {"replicas", decision.replicas},
                 {"worker", decision.worker.value},
                 {"victim", decision.victim},
                 {"cost-millis", rounded(kMillis * decision.cost)},
-                {"worth-millis", rounded(kMillis * decision.worth)},
+                {"worth-millis", rounded(kMillis * decision.benefit)},
                 {"tier", std::string_view(decision.fromStore ? "store" : "near")},
-                {"store-loads", std::uint64_t{store.underWay()}},
+                {"store-loads", std::uint64_t{store.loadsInProgress()}},
                 {"store-limit", std::uint64_t{store.limit()}},
                 {"store-wait", static_cast<std::uint64_t>(storeWait.count())}});
   }
 }
 
-/// An order of a former leader that is under way may be a load from the store.
+/// Counts the orders of previous leaders in progress, each of which may be a load from the store.
 void LeaderDuties::countForeignLoads(const catalog::Service& service, StoreScheduler& store) {
   std::size_t foreign = 0;
   for (const WorkerId& id : busyWorkers_) {
@@ -210,7 +215,7 @@
                         !status->second.silent;
     foreign += counts ? 1 : 0;
   }
-  store.setForeign(foreign);
+  store.setPreviousLeaderLoads(foreign);
 }
 
 PlacementWorker LeaderDuties::placementWorker(const WorkerRecord& record,
@@ -219,29 +224,29 @@
   PlacementWorker worker;
   worker.id = record.id;
   worker.holdings = status.expected(now);
-  // What it can't take of its models' requests is served elsewhere, and nothing new is brought to
-  // it.
+  // A worker over its request limit doesn't count as a replica, so that the excess is served
+  // elsewhere, and no new models are loaded on it.
   worker.serving = !outOfService(record) && !status.silent && !outliers_.failing(record.id) &&
-                   !limits_.wasShort(record.id, now);
-  worker.mayLoad = !limits_.limitOf(record.id);
-  worker.mayBeOrdered = status.reportFresh && !status.sentOrder && !status.reportUnderWay &&
-                        now >= status.orderAgainAt && mayOrder(record.id, now);
-  worker.mayTakeAdapters = !(status.adaptersBlocked && status.modelOrder);
+                   !limits_.wasOverLimit(record.id, now);
+  worker.canLoadModels = !limits_.limitOf(record.id);
+  worker.canTakeOrders = status.reportFresh && !status.sentOrder && !status.reportUnderWay &&
+                         now >= status.orderAgainAt && mayOrder(record.id, now);
+  worker.canLoadAdapters = !(status.adaptersBlocked && status.modelOrder);
   for (const HeldModel& held : worker.holdings.models) {
     for (const std::string& adapter : held.adapters) {
       if (status.adapterIsNew(held.name, adapter, now)) {
-        worker.newAdapters.insert({held.name, adapter});
+        worker.recentAdapters.insert({held.name, adapter});
       }
     }
   }
   worker.running = demand_.running(record.id);
   if (status.modelOrder) {
-    noteOrder(worker, status.modelOrder->operation, status.modelOrder->model);
+    setOrderInProgress(worker, status.modelOrder->operation, status.modelOrder->model);
   }
   if (status.sentOrder && status.sentOrder->adapter.empty()) {
-    noteOrder(worker, status.sentOrder->operation, status.sentOrder->model);
+    setOrderInProgress(worker, status.sentOrder->operation, status.sentOrder->model);
   }
-  worker.busyFor = busyTime(status, now);
+  worker.remainingOrderTime = busyTime(status, now);
   return worker;
 }
 
