--- a/include/walnut/resource/types.h
+++ b/include/walnut/resource/types.h
@@ -18,7 +18,7 @@
 
 namespace walnut::resource {
 
-/// Version of the cell's state: the log index of the change. Versions only grow.
+/// Version of the cell's state: the log index of the change that produced it. Versions only grow.
 using Version = std::uint64_t;
 
 enum class Kind : std::uint8_t {
@@ -27,14 +27,14 @@
   adapter = 2,
   capacityBudget = 3,
   enginePool = 4,
-  drain = 5,  ///< Named after an engine: that engine is to be emptied.
+  drain = 5,  ///< Carries the name of the engine that is to be drained.
 };
 
-/// A model that callers name. Serves `activeVersion`.
+/// A model that callers request by name. It is served at `activeVersion`.
 struct ModelSpec {
   std::string activeVersion;  ///< Name of a ModelVersion; empty: the model is declared, not served.
   std::string pool;           ///< Name of an EnginePool; empty: any engine.
-  std::string budget;         ///< Name of a CapacityBudget; empty: the defaults of one.
+  std::string budget;         ///< Name of a CapacityBudget; empty: the default budget.
   std::uint32_t minReplicas = 0;
   std::uint32_t maxReplicas = 1;
   bool operator==(const ModelSpec&) const = default;
@@ -48,8 +48,8 @@
 struct ModelVersionSpec {
   std::string model;
   std::string checkpoint;              ///< Key in the weight store.
-  std::uint64_t checkpointBytes = 0;   ///< Read on a load from the store.
-  std::uint64_t acceleratorBytes = 0;  ///< Reserved on one accelerator, key-value cache included.
+  std::uint64_t checkpointBytes = 0;   ///< Bytes read when loading from the store.
+  std::uint64_t acceleratorBytes = 0;  ///< Reserved memory of one accelerator, KV cache included.
   bool operator==(const ModelVersionSpec&) const = default;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -57,7 +57,8 @@
   }
 };
 
-/// Small weights over a model; callers name it in place of the model.
+/// Small additional weights that are applied to a model; callers name the adapter in place of the
+/// model.
 struct AdapterSpec {
   std::string model;
   std::string checkpoint;
@@ -70,24 +71,27 @@
   }
 };
 
-/// When an idle replica is unloaded, and when a model is loaded before anyone asks for it.
+/// Policy for when an idle replica is unloaded and when a model is loaded ahead of requests.
 enum class KeepAlive : std::uint8_t {
-  idleTimeout = 0,  ///< After a fixed idle time.
-  learned = 1,      ///< By the idle gaps that were seen of each model and adapter.
-  resident = 2,     ///< Held, and loaded ahead wherever memory is free, until it is wanted.
+  idleTimeout = 0,  ///< Unloaded after a fixed idle time.
+  learned = 1,      ///< Follows the idle gaps observed for each model and adapter.
+  resident = 2,     ///< Kept, and loaded ahead into free memory, until the memory is needed.
 };
 
-/// What the operator is willing to spend on the models that name it.
+/// Limits of the accelerator memory and idle time that may be spent on the models that name this
+/// budget.
 struct CapacityBudgetSpec {
-  std::uint64_t acceleratorBytes = 0;     ///< For all its models together; 0: no bound of its own.
+  std::uint64_t acceleratorBytes = 0;     ///< Limit for all its models together; 0: no limit.
   std::uint32_t idleUnloadSeconds = 600;  ///< A replica idle for this long may be unloaded.
-  /// 0: only idle accelerator hours count; 100: only cold-start time counts.
+  /// Weight of cold-start time against idle accelerator hours. 0: only idle hours count; 100: only
+  /// cold-start time counts.
   std::uint32_t coldStartWeight = 50;
   KeepAlive keepAlive = KeepAlive::idleTimeout;
   /// With `learned`: how many seconds one whole accelerator may idle to save a request one second
   /// of cold start.
   std::uint32_t idleSecondsPerColdSecond = 60;
-  /// With `learned`: a cold start that takes longer counts more, by the ratio; 0: none does.
+  /// With `learned`: a cold start that takes longer than this counts more, in proportion; 0: all
+  /// cold starts count the same.
   std::uint32_t coldStartTargetSeconds = 0;
   bool operator==(const CapacityBudgetSpec&) const = default;
   template <class Archive>
@@ -99,8 +103,8 @@
 
 /// A named set of engines, and the limits of the weight store that they load from.
 struct EnginePoolSpec {
-  std::vector<std::string> zones;  ///< Engines of these zones; empty: all zones.
-  std::string machineClass;        ///< As in the platform list; empty: any.
+  std::vector<std::string> zones;  ///< The pool has the engines of these zones; empty: all zones.
+  std::string machineClass;        ///< Machine class as in the platform list; empty: any.
   std::uint32_t maxConcurrentLoads = 8;
   double loadsPerSecond = 2.0;
   bool operator==(const EnginePoolSpec&) const = default;
@@ -110,7 +114,7 @@
   }
 };
 
-/// Operator's drain of the engine with the resource's name.
+/// An operator's request to drain the engine that has the resource's name.
 struct DrainSpec {
   std::string reason;
   bool operator==(const DrainSpec&) const = default;
@@ -120,7 +124,7 @@
   }
 };
 
-/// Alternatives are in the order of Kind.
+/// Specification of a resource of any kind. The alternatives are in the order of Kind.
 using Spec = std::variant<ModelSpec, ModelVersionSpec, AdapterSpec, CapacityBudgetSpec,
                           EnginePoolSpec, DrainSpec>;
 
@@ -138,7 +142,7 @@
 /// A declared resource. `spec.index()` equals `key.kind`.
 struct Resource {
   Key key;
-  Version version = 0;  ///< Of its last change; set by the cell.
+  Version version = 0;  ///< Version of its last change; set by the cell.
   Spec spec;
   bool operator==(const Resource&) const = default;
   template <class Archive>
@@ -147,7 +151,7 @@
   }
 };
 
-/// What an engine holds as one unit: a model version, or an adapter over one.
+/// The unit that an engine loads and unloads: a model version, or an adapter for one.
 struct Servable {
   std::string model;
   std::string version;
@@ -159,9 +163,9 @@
   }
 };
 
-/// Life of a replica in the cell's state. Transitions, each a committed log entry:
+/// Lifecycle of a replica in the cell's state. Transitions, each a committed log entry:
 ///   reserved -> ready (engine reported it) -> unloading -> (removed: engine confirmed, or dead)
-///   reserved -> unloading (given up)        reserved | ready -> (removed: incarnation dead)
+///   reserved -> unloading (abandoned)       reserved | ready -> (removed: incarnation dead)
 /// Memory is reserved in every state; only removal frees it.
 enum class ReplicaState : std::uint8_t { reserved = 0, ready = 1, unloading = 2 };
 
@@ -181,19 +185,19 @@
   }
 };
 
-/// live: may be given work. leaving: no new work; unload when empty. Removal from the state means
-/// that the machine is known gone.
+/// Whether an engine takes work. live: takes new work. leaving: takes no new work and is unloaded
+/// when idle. An engine is removed from the state once its machine is known to be gone.
 enum class EngineStatus : std::uint8_t { live = 0, leaving = 1 };
 
-/// One engine as the cell knows it.
+/// One engine as recorded in the cell's state.
 struct Engine {
   base::EngineId id;
   base::Endpoint endpoint;
   base::ZoneId zone;
   std::string machineClass;
-  base::Incarnation incarnation;  ///< Zero until its first report.
+  base::Incarnation incarnation;  ///< Zero until the engine's first report.
   EngineStatus status = EngineStatus::live;
-  std::optional<base::TimePoint> reclaimAt;     ///< End of the grace of a reclaimed machine.
+  std::optional<base::TimePoint> reclaimAt;     ///< End of a reclaimed machine's grace period.
   std::vector<std::uint64_t> acceleratorBytes;  ///< Memory of each accelerator.
   bool operator==(const Engine&) const = default;
   template <class Archive>
--- a/src/resource/validation.cpp
+++ b/src/resource/validation.cpp
@@ -18,19 +18,19 @@
 constexpr std::uint64_t kMaxBytes = std::uint64_t{1} << 44;
 /// Largest accepted budget: 256 PiB, above all the accelerators of a region together.
 constexpr std::uint64_t kMaxBudgetBytes = std::uint64_t{1} << 58;
-/// Far above the engines of a region; guards against a slip of the keyboard.
+/// Far above the number of engines in a region; guards against typing errors.
 constexpr std::uint32_t kMaxReplicas = 10000;
 constexpr std::uint32_t kMaxIdleUnloadSeconds = 30 * 24 * 3600;
 constexpr std::uint32_t kMaxColdStartWeight = 100;
-/// An accelerator held for a day to save a second.
+/// Allows an accelerator to be held for up to a day to save one second of cold start.
 constexpr std::uint32_t kMaxIdleSecondsPerColdSecond = 24 * 3600;
 constexpr std::uint32_t kMaxColdStartTargetSeconds = 3600;
 constexpr std::uint32_t kMaxConcurrentLoads = 10000;
 constexpr double kMaxLoadsPerSecond = 10000.0;
-/// A store key may be a long path.
+/// Maximum length of a checkpoint's key in the weight store; generous, as a key may be a long path.
 constexpr std::size_t kMaxCheckpointBytes = 512;
 constexpr std::size_t kMaxReasonBytes = 512;
-/// Far above the zones of a region.
+/// Far above the number of zones in a region.
 constexpr std::size_t kMaxZones = 64;
 
 constexpr std::array<const char*, std::variant_size_v<Spec>> kKindNames = {
@@ -80,14 +80,14 @@
 
 template <class Number>
 base::Result<void> checkNumber(Number value, Number least, Number most, const std::string& field) {
-  // Negated, so that a value that is not a number is refused.
+  // The condition is negated so that NaN is refused as well.
   if (!(value >= least && value <= most)) {
     return outOfRange(field, std::to_string(least) + " .. " + std::to_string(most));
   }
   return base::success();
 }
 
-/// Fields that a model version and an adapter share.
+/// Checks the fields that a model version and an adapter share.
 template <class WeightsSpec>
 base::Result<void> checkWeights(const WeightsSpec& spec) {
   BOOST_OUTCOME_TRYV(checkName(spec.model, "spec.model"));
@@ -151,7 +151,7 @@
   return checkText(spec.reason, kMaxReasonBytes, "spec.reason");
 }
 
-/// A reference to another resource, as a field of a spec; the name is borrowed from the spec.
+/// A reference to another resource, as a field of a spec; the spec owns the name.
 struct Reference {
   Kind kind;
   const std::string& name;  ///< Empty: refers to nothing.
@@ -159,7 +159,7 @@
 };
 
 /// Calls `visitor` with each reference until one call returns true.
-/// @return true if one did.
+/// @return true if a call returned true.
 template <class Visitor>
 bool anyReference(const Spec& spec, const Visitor& visitor) {
   if (const auto* model = std::get_if<ModelSpec>(&spec)) {
--- a/src/resource/validation.h
+++ b/src/resource/validation.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Rules that a resource must meet by itself, and by what it refers to.
+/// Validation of resources: rules for a resource by itself and for its references to others.
 
 #include <functional>
 #include <string>
@@ -10,14 +10,14 @@
 
 namespace walnut::resource {
 
-/// Longest name of a resource, in bytes.
+/// Maximum length of a resource name, in bytes.
 inline constexpr std::size_t kMaxNameBytes = 128;
 
 /// @return the kind's stable name: "model", "modelversion", "adapter", "budget", "pool", "drain".
 const char* kindName(Kind kind);
 base::Result<Kind> kindFromName(const std::string& name);
 
-/// Checks names, ranges and the agreement of spec and kind, without looking at other resources.
+/// Checks names, ranges and that the spec matches the kind, without looking at other resources.
 /// @return `outOfRange`, `missingField` or `wrongType`; the error names the field, as in
 /// `spec.max_replicas`.
 base::Result<void> validate(const Resource& resource);
--- a/test/resource/validation_test.cpp
+++ b/test/resource/validation_test.cpp
@@ -4,7 +4,7 @@
 #include <limits>
 #include <vector>
 
-// Last: its macro for new breaks the headers of the library.
+// Included last: its macro for `new` breaks the standard library's headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
