--- a/include/walnut/protocol/codec.h
+++ b/include/walnut/protocol/codec.h
@@ -12,8 +12,8 @@
 
 namespace walnut::protocol {
 
-/// Largest frame accepted, header excluded, in bytes. Above the largest legal message: an append
-/// request of RaftOptions::maxBytesPerAppend plus one entry.
+/// Maximum accepted frame size in bytes, header excluded. Above the largest legal message: an
+/// append request of RaftOptions::maxBytesPerAppend plus one entry.
 inline constexpr std::size_t kMaxFrameBytes = 4U << 20U;
 
 std::string encodeMessage(const Message& message);
--- a/include/walnut/protocol/messages.h
+++ b/include/walnut/protocol/messages.h
@@ -23,22 +23,22 @@
 
 namespace walnut::protocol {
 
-/// 5: documents have tenants, workers have lives.
+/// Version of the message formats. 5 added tenants to documents and incarnations to workers.
 inline constexpr std::uint32_t kProtocolVersion = 5;
 
 enum class PeerRole : std::uint8_t { router = 0, controller = 1 };
 
-/// First message of either side on a connection.
+/// Handshake: the first message that either side sends on a connection.
 struct Hello {
   std::uint32_t protocolVersion = kProtocolVersion;
   PeerRole role = PeerRole::router;
   base::CellId cell;
   std::uint64_t id = 0;  ///< RouterId or ServerId.
   base::ZoneId zone;
-  /// What the sender knows beyond the protocol version (registry/feature_level.h); 0: nothing.
+  /// Features the sender supports beyond the protocol version (registry/feature_level.h); 0: none.
   std::uint32_t featureLevel = 0;
 
-  /// Builds that know no levels take exactly the first five fields: the level stands behind the
+  /// Builds without feature levels accept exactly five fields, so the level is appended to the
   /// zone, which registries and gateways of such builds don't read.
   template <class Archive>
   void serialize(Archive& archive) {
@@ -53,11 +53,11 @@
 
  private:
   static base::ZoneId zoneWithLevel(const base::ZoneId& zone, std::uint32_t level);
-  /// Leaves the zone alone. @return the level that stood behind it; 0: none, or unreadable.
+  /// Strips the level from the zone. @return the level; 0 if there is none or it is unreadable.
   static std::uint32_t takeLevel(base::ZoneId& zone);
 };
 
-/// Asks a controller how far its log reaches. A router is up to date as of the time it sent the
+/// Asks a controller for its last log index. A router is up to date as of the time it sent the
 /// probes once it has applied the greatest `lastLogIndex` of some majority of voters: any committed
 /// entry is in the log of at least one of them. This needs no leader.
 struct ProbeRequest {
@@ -82,7 +82,7 @@
   }
 };
 
-/// A change of what routers need to know. Alternatives:
+/// Alternatives of `Change`, a change of the state that routers replicate.
 struct ResourceChanged {
   resource::Resource resource;
   template <class Archive>
@@ -137,7 +137,7 @@
 using Change = std::variant<ResourceChanged, ResourceDeleted, EngineChanged, EngineRemoved,
                             ReplicaChanged, ReplicaRemoved, MembershipChanged>;
 
-/// Router asks for all changes after `fromIndex`; 0 asks for the whole state.
+/// Request of a router for all changes after `fromIndex`; 0 asks for the whole state.
 struct WatchRequest {
   consensus::LogIndex fromIndex = 0;
   template <class Archive>
@@ -146,9 +146,9 @@
   }
 };
 
-/// Committed changes of (fromIndex, toIndex], coalesced: the last change of each object. With no
-/// changes it only tells that nothing changed. Applied only if fromIndex <= the router's index and
-/// toIndex >= it.
+/// Committed changes of (fromIndex, toIndex], coalesced to the last change of each object.
+/// An empty delta confirms that nothing changed. Applied only if fromIndex <= the router's index
+/// and toIndex >= it.
 struct WatchDelta {
   consensus::LogIndex fromIndex = 0;
   consensus::LogIndex toIndex = 0;
@@ -175,12 +175,13 @@
 struct Demand {
   std::string model;
   std::string adapter;  ///< Empty: the model itself.
-  /// Of streams that can only go on with a version that is no longer the active one; else empty.
+  /// Version required by streams that can only continue on a version which is no longer active;
+  /// else empty.
   std::string version;
   std::uint32_t waitingInteractive = 0;
   std::uint32_t waitingBatch = 0;
   std::uint32_t running = 0;
-  std::optional<base::TimePoint> earliestDeadline;  ///< Of the waiting ones.
+  std::optional<base::TimePoint> earliestDeadline;  ///< Earliest among the waiting requests.
   base::TimePoint lastArrival;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -189,23 +190,23 @@
   }
 };
 
-/// What became of the attempts of one router at one engine since the router's last report.
+/// Outcomes of one router's attempts on one engine since the router's last report.
 struct EngineOutcomes {
   base::EngineId engine;
-  std::uint32_t answered = 0;  ///< It has begun to answer.
-  std::uint32_t failed = 0;    ///< It failed, or did not answer in time.
+  std::uint32_t answered = 0;  ///< Attempts to which the engine began to respond.
+  std::uint32_t failed = 0;    ///< Attempts that failed or timed out.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(engine, answered, failed);
   }
 };
 
-/// Router to leader, every report interval. `complete` replaces all that the leader holds of this
-/// router; else only the listed entries are replaced. An entry lapses when the router is silent
-/// for longer than the demand lifetime.
+/// Report of a router to the leader, sent every report interval. With `complete` set it replaces
+/// all entries that the leader holds for this router; else only the listed ones. An entry expires
+/// when the router has not reported for longer than the demand lifetime.
 struct DemandReport {
   base::RouterId router;
-  std::uint64_t sequence = 0;  ///< Older reports than the last one are ignored.
+  std::uint64_t sequence = 0;  ///< Reports older than the latest one are ignored.
   bool complete = false;
   std::vector<Demand> entries;
   std::vector<EngineOutcomes> outcomes;
@@ -216,7 +217,7 @@
 };
 
 struct ClaimRequest {
-  std::uint64_t sequence = 0;  ///< Of the router; echoed.
+  std::uint64_t sequence = 0;  ///< Assigned by the router; echoed in the reply.
   control::ClaimKey claim;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -248,7 +249,7 @@
     archive(kind);
   }
 };
-/// Adds (as learner, promoted to voter when it has caught up) or removes a server of the cell.
+/// Adds a server to the cell (as learner, promoted to voter once it has caught up) or removes one.
 struct ChangeMember {
   std::string requestId;
   bool remove = false;
@@ -266,7 +267,7 @@
 using ApiRequest = std::variant<control::PutResource, control::DeleteResource, GetResource,
                                 ListResources, ChangeMember, GetStatus>;
 
-/// State of the cell as an operator sees it.
+/// State of the cell as shown to operators.
 struct CellStatus {
   base::ServerId server;
   base::ServerId leader;
@@ -284,11 +285,11 @@
   }
 };
 
-/// Answer of the resource API. With `error` set the other fields are void, but
-/// `currentVersion` with versionConflict.
+/// Reply of the resource API. With `error` set the other fields have no meaning, except
+/// `currentVersion` for versionConflict.
 struct ApiReply {
   std::optional<base::Error> error;
-  resource::Version version = 0;  ///< Of the write, or of the listed state.
+  resource::Version version = 0;  ///< Version of the write or of the listed state.
   resource::Version currentVersion = 0;
   std::vector<resource::Resource> resources;
   std::optional<CellStatus> status;
@@ -320,7 +321,7 @@
                              WatchDelta, WatchSnapshotPage, DemandReport, ClaimRequest, ClaimReply,
                              ForwardedRequest, ForwardedReply, registry::RegistryMessage>;
 
-/// A connection of the process, numbered by its driver; never reused within a run.
+/// Identifies a connection within the process; assigned by its driver, never reused within a run.
 using ConnectionId = base::StrongId<struct ConnectionTag, std::uint64_t>;
 
 }  // namespace walnut::protocol
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// No zone's name has it.
+/// Separates the zone from the feature level; zone names never contain it.
 constexpr char kLevelMark = '\n';
 
 }  // namespace
--- a/test/protocol/codec_test.cpp
+++ b/test/protocol/codec_test.cpp
@@ -71,21 +71,21 @@
   CHECK_TRUE(decoded.has_error());
 }
 
-/// Builds that know no levels read exactly these bytes, and nothing behind them.
-TEST(Codec, aHelloWithoutALevelIsAsItWas) {
+/// Builds without feature levels accept exactly these bytes and nothing after them.
+TEST(Codec, helloWithoutFeatureLevelKeepsItsFormat) {
   protocol::Hello hello;
   hello.id = 7;
   hello.zone = {"zone"};
   const std::string bytes = protocol::encodeMessage(hello);
   hello.featureLevel = 3;
-  const std::string levelled = protocol::encodeMessage(hello);
-  CHECK_EQUAL(bytes.size() + 2, levelled.size());
+  const std::string withLevel = protocol::encodeMessage(hello);
+  CHECK_EQUAL(bytes.size() + 2, withLevel.size());
   const auto read = std::get<protocol::Hello>(protocol::decodeMessage(bytes).value());
   CHECK_EQUAL(0, read.featureLevel);
   STRCMP_EQUAL("zone", read.zone.value.c_str());
 }
 
-TEST(Codec, aHelloTellsItsLevel) {
+TEST(Codec, helloRoundTripKeepsFeatureLevel) {
   protocol::Hello hello;
   hello.zone = {"zone"};
   hello.featureLevel = 12;
@@ -95,7 +95,7 @@
   STRCMP_EQUAL("zone", read.zone.value.c_str());
 }
 
-TEST(Codec, anUnreadableLevelIsNone) {
+TEST(Codec, unreadableFeatureLevelIsZero) {
   protocol::Hello hello;
   hello.zone = {"zone\n12x"};
   const auto read =
