--- a/include/walnut/base/error.h
+++ b/include/walnut/base/error.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Typed errors. Every failure has a code; text is only an explanation for a person.
+/// Typed errors. Every failure has a code; its text is only an explanation for a person.
 
 #include <boost/outcome/policy/terminate.hpp>
 #include <boost/outcome/result.hpp>
@@ -12,15 +12,15 @@
 
 /// Every kind of failure that the product reports. Values are part of the protocol: append only.
 enum class ErrorCode : std::uint16_t {
-  // Input that its sender must change.
+  // Errors in input, which the sender must correct.
   malformedInput = 1,      ///< Not JSON, not a frame, not a settings file.
   unknownField = 2,        ///< A key that the format does not have.
   missingField = 3,        ///< A required key is absent.
   wrongType = 4,           ///< A key has a value of another type.
   outOfRange = 5,          ///< A value is outside its accepted range.
-  inputTooLarge = 6,       ///< Refused before allocation.
-  unsupportedVersion = 7,  ///< Protocol or file format of another version.
-  // Resource API.
+  inputTooLarge = 6,       ///< Input over its size limit; refused before allocation.
+  unsupportedVersion = 7,  ///< The protocol or file format has an unsupported version.
+  // Errors of the resource API.
   notFound = 20,          ///< No such resource or path.
   alreadyExists = 21,     ///< Create of a name that exists.
   versionConflict = 22,   ///< Expected version is not the current one.
@@ -28,41 +28,41 @@
   referenceMissing = 24,  ///< The resource names another that does not exist.
   referenceInUse = 25,    ///< The resource is named by another one.
   requestIdReused = 26,   ///< Same request id, different request.
-  // Control.
-  notLeader = 40,       ///< Ask the leader.
+  // Errors of the controllers.
+  notLeader = 40,       ///< This server is not the leader; the leader must be asked.
   noQuorum = 41,        ///< No leader is known at present.
   outcomeUnknown = 42,  ///< The change may or may not take effect; resend with the same id.
   membershipChangePending = 43,
-  // Routing.
+  // Errors of routing.
   unknownModel = 60,              ///< The request names no known model or adapter.
-  deadlineUnreachable = 61,       ///< Refused at admission: estimate is past the deadline.
+  deadlineUnreachable = 61,       ///< Refused at admission: estimated to end after the deadline.
   deadlineExceeded = 62,          ///< The deadline passed.
-  queueFull = 63,                 ///< The bounded queue has no place.
+  queueFull = 63,                 ///< The bounded queue is full.
   configurationUnconfirmed = 64,  ///< The router cannot confirm that its configuration is current.
   duplicateRequest = 65,          ///< The idempotency key is already claimed.
   claimExpired = 66,              ///< Request issued before the claim window: refused, not run.
   claimUnavailable = 67,          ///< The cell cannot be reached to claim the key.
   engineFailed = 68,              ///< The engine failed and the request can't be run again.
   streamBroken = 69,              ///< The stream broke and can't be resumed.
-  noCapacity = 70,                ///< No replica and no place for one before the deadline.
-  stopping = 71,                  ///< The process takes no new work.
-  // Engines.
+  noCapacity = 70,                ///< No replica, and no capacity for one before the deadline.
+  stopping = 71,                  ///< The process is shutting down and takes no new work.
+  // Errors of engines.
   staleOrder = 80,          ///< The fencing token is older than one already seen.
-  wrongIncarnation = 81,    ///< The order was for another life of the engine.
+  wrongIncarnation = 81,    ///< The order was for another incarnation of the engine.
   insufficientMemory = 82,  ///< The engine asserts that the load would overcommit it.
   modelNotLoaded = 83,      ///< Generate for a model that is not ready there.
   engineLeaving = 84,       ///< The engine takes no new work.
   engineOverloaded = 85,    ///< The engine's queue is full.
-  unknownAttempt = 86,      ///< Cancel or export of an attempt that is not there.
+  unknownAttempt = 86,      ///< Cancel or export of an attempt that the engine does not have.
   loadFailed = 87,          ///< The weights could not be loaded.
-  // Input and output.
+  // Errors of input and output.
   connectFailed = 100,   ///< No connection; nothing was sent.
   connectionLost = 101,  ///< The connection broke after something was sent.
   timedOut = 102,
   fileError = 103,     ///< A file operation failed; detail has the system's text.
   corruptFile = 104,   ///< A checksum or structure is wrong in the middle of a file.
   identityLost = 105,  ///< The data folder is empty but its identity was in use.
-  internal = 120,      ///< A broken invariant of our own.
+  internal = 120,      ///< An internal invariant was violated.
 };
 
 /// A failure: its code, the field or resource it is about, and an explanation for a person.
--- a/include/walnut/base/ids.h
+++ b/include/walnut/base/ids.h
@@ -23,7 +23,7 @@
   }
 };
 
-/// One region's control cell. No type assumes that there is a single cell.
+/// Identifies a control cell of a region. No type assumes that there is a single cell.
 struct CellId {
   std::uint16_t region = 0;
   std::uint16_t cell = 0;
@@ -36,20 +36,20 @@
   }
 };
 
-/// Identity of one controller's data folder. Drawn afresh when a folder is initialised, so that a
+/// Identity of one controller's data folder. Generated anew when a folder is initialised, so that a
 /// voter whose disk was lost never returns under its old identity.
 using ServerId = StrongId<struct ServerTag, std::uint64_t>;
 /// Identity of one run of a router process.
 using RouterId = StrongId<struct RouterTag, std::uint64_t>;
 /// Name of an engine (one process on one machine) as given by the platform list.
 using EngineId = StrongId<struct EngineTag, std::string>;
-/// One life of an engine process; a restarted engine has another incarnation. Zero means unknown.
+/// Incarnation of an engine process; it changes when the engine restarts. Zero means unknown.
 using Incarnation = StrongId<struct IncarnationTag, std::uint64_t>;
 /// Index of an accelerator within its engine.
 using AcceleratorIndex = StrongId<struct AcceleratorTag, std::uint32_t>;
-/// One request of a caller, unique over all routers.
+/// Identifies one request of a caller, unique across all routers.
 using RequestId = StrongId<struct RequestTag, std::string>;
-/// One attempt to run a request on an engine; unique within a router run, increasing.
+/// Identifies one attempt to run a request on an engine; unique and increasing within a router run.
 using AttemptId = StrongId<struct AttemptTag, std::uint64_t>;
 /// Identity of a replica: the log index of the decision that created it.
 using ReplicaId = StrongId<struct ReplicaTag, std::uint64_t>;
--- a/include/walnut/base/random.h
+++ b/include/walnut/base/random.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Seeded randomness, given to the decision logic as an input. Boost.Random is used because its
-/// distributions yield the same numbers on every platform; the standard library's do not.
+/// Seeded random numbers, passed to the decision logic as an input. Boost.Random is used because
+/// its distributions yield the same numbers on every platform; the standard library's do not.
 
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_int_distribution.hpp>
--- a/include/walnut/base/time.h
+++ b/include/walnut/base/time.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Time as the decision logic sees it: always an input, never read from a clock.
+/// Time types of the decision logic, which receives time as an input and never reads a clock.
 
 #include <cereal/cereal.hpp>
 #include <cereal/types/chrono.hpp>
@@ -13,7 +13,7 @@
 using Duration = std::chrono::microseconds;
 
 /// Tag of the process clock: monotonic, anchored to the Unix epoch when the process starts. It
-/// never goes backwards; across processes it agrees only within the stated clock skew.
+/// never goes backwards; across processes clocks agree only within the stated clock skew.
 struct ProcessClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -23,7 +23,7 @@
 
 using TimePoint = ProcessClock::time_point;
 
-/// A time that is never reached: "no wakeup needed".
+/// Time point that is never reached; means that no wakeup is needed.
 inline constexpr TimePoint kNever = TimePoint::max();
 
 /// @return microseconds since the Unix epoch, for messages and files.
--- a/include/walnut/factories.h
+++ b/include/walnut/factories.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Creation of the implementations behind the pure interfaces, for the drivers (programs,
+/// Factories of the implementations behind the abstract interfaces, for the drivers (programs,
 /// simulator, hollow processes).
 
 #include <cstdint>
@@ -15,7 +15,8 @@
 #include "walnut/storage/log_storage.h"
 
 namespace walnut::consensus {
-/// @param bootstrap membership of a new cell; used only if nothing was recovered. Empty for a
+/// Creates a Raft server.
+/// @param bootstrap membership of a new cell; used only if no state was recovered. Empty for a
 /// server that waits to be added.
 /// Implemented in src/consensus.
 std::unique_ptr<Raft> makeRaft(const RaftOptions& options, RecoveredState recovered,
@@ -26,12 +27,13 @@
 namespace walnut::storage {
 /// @return the real file system over one folder, created if absent. Implemented in src/storage.
 base::Result<std::unique_ptr<FileSystem>> openPosixFileSystem(const std::string& folder);
+/// Creates the log storage over `files`.
 /// @param segmentBytes size at which a new log segment is begun. Implemented in src/storage.
 std::unique_ptr<LogStorage> makeLogStorage(FileSystem& files, std::uint64_t segmentBytes);
 }  // namespace walnut::storage
 
 namespace walnut::control {
-/// Implemented in src/control.
+/// Creates a controller. Implemented in src/control.
 std::unique_ptr<Controller> makeController(const ControllerOptions& options, base::CellId cell,
                                            consensus::RecoveredState recovered,
                                            const consensus::Membership& bootstrap,
@@ -39,7 +41,7 @@
 }  // namespace walnut::control
 
 namespace walnut::routing {
-/// Implemented in src/routing.
+/// Creates a router. Implemented in src/routing.
 std::unique_ptr<Router> makeRouter(const RouterOptions& options, base::RouterId id,
                                    std::uint64_t seed, base::TimePoint now);
 }  // namespace walnut::routing
--- a/src/base/archive.h
+++ b/src/base/archive.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// cereal archives over memory. cereal's own binary archive trusts the sizes that it reads; the
-/// input archive here checks each against the bytes that are left and lets containers grow only as
+/// input archive here checks each size against the remaining bytes and grows containers only as
 /// their elements are read.
 
 #include <cereal/cereal.hpp>
@@ -16,7 +16,8 @@
 
 namespace walnut::base {
 
-/// Appends the binary form of values to a string. Little-endian hosts only, as all our targets are.
+/// Appends the binary form of values to a string. All supported targets are
+/// little-endian; other hosts are not handled.
 class OutputArchive : public cereal::OutputArchive<OutputArchive, cereal::AllowEmptyClassElision> {
  public:
   OutputArchive() : cereal::OutputArchive<OutputArchive, cereal::AllowEmptyClassElision>(this) {}
@@ -108,8 +109,8 @@
   archive.loadBinary(data.data, static_cast<std::size_t>(data.size));
 }
 
-/// Grows element by element, so that a false size costs no more memory than the input has bytes.
-/// More specialised than cereal's own function for vectors of classes.
+/// Loads a vector element by element, so that a forged size allocates no more memory than the input
+/// justifies. More specialised than cereal's own function for vectors of classes.
 template <class T, class Allocator>
 std::enable_if_t<!std::is_arithmetic_v<T>> CEREAL_LOAD_FUNCTION_NAME(
     InputArchive& archive, std::vector<T, Allocator>& values) {
