--- a/include/walnut/runtime/clock.h
+++ b/include/walnut/runtime/clock.h
@@ -1,12 +1,13 @@
 #pragma once
 /// @file
-/// The process clock of the real drivers.
+/// Process clock of the real drivers.
 
 #include "walnut/base/time.h"
 
 namespace walnut::runtime {
 
-/// Monotonic, anchored to the Unix epoch at the first call; goes on while the process is stopped.
+/// @return the time of a monotonic clock that is anchored to the Unix epoch at the first call and
+/// also advances while the process is stopped.
 base::TimePoint now();
 
 /// @return a seed from the system's random device.
--- a/include/walnut/runtime/event_log.h
+++ b/include/walnut/runtime/event_log.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The decision log: one structured line on standard output for each decision that touches a
-/// request and each change of what the process believes. Bounded, and never blocks: what standard
-/// output does not take in time is dropped and counted in the log itself.
+/// Decision log: one structured line on standard output for each decision about a request and each
+/// change of the state that the process assumes. The log is bounded and never blocks: lines that
+/// standard output does not accept in time are dropped and counted in the log itself.
 
 #include <cstdint>
 #include <initializer_list>
@@ -11,7 +11,7 @@
 
 namespace walnut::runtime {
 
-/// Every event of the decision log; docs/OPERATIONS.md lists their fields.
+/// Events of the decision log; docs/OPERATIONS.md lists their fields.
 enum class LogEvent : std::uint8_t {
   processStarted,
   processStopping,
@@ -20,7 +20,7 @@
   dependencyLost,
   dependencyRegained,
   linesDropped,
-  // What a process believes.
+  // Changes of the state that the process assumes.
   roleChanged,
   membershipChanged,
   memberProposed,
@@ -73,7 +73,7 @@
   reportRead,
   callUnavailable,
   callRefused,
-  // Requests.
+  // Decisions about requests.
   requestRefused,
   requestWaiting,
   attemptStarted,
@@ -88,7 +88,7 @@
 /// @return the event's name in logs.
 std::string_view logEventName(LogEvent event);
 
-/// One key=value of a line.
+/// One key=value pair of a line.
 struct EventField {
   std::string_view key;
   std::string value;
@@ -109,7 +109,7 @@
   virtual void write(LogEvent event, std::initializer_list<EventField> fields) = 0;
 };
 
-/// Writes nothing; for tests and simulations.
+/// Event log that discards all events; for tests and simulations.
 class NullEventLog : public EventLog {
  public:
   void write(LogEvent /*event*/, std::initializer_list<EventField> /*fields*/) override {}
--- a/include/walnut/runtime/log.h
+++ b/include/walnut/runtime/log.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Structured log: key=value lines in a memory ring, written to the error stream when something
-/// goes wrong (an error, a crash signal, SIGUSR1), and little else.
+/// Structured log: key=value lines in a memory ring, written to the error stream on an error, a
+/// crash signal or SIGUSR1. Apart from that only notices are written.
 
 #include <cstddef>
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace walnut::runtime {
 
-/// One key=value of a log line.
+/// One key=value pair of a log line.
 struct LogField {
   std::string_view key;
   std::string value;
@@ -24,17 +24,19 @@
       : key(fieldKey), value(std::to_string(fieldValue)) {}
 };
 
-/// Sets up the ring (spdlog) and the crash and SIGUSR1 handlers. Once, before threads start.
+/// Sets up the ring (spdlog) and the crash and SIGUSR1 handlers. Must be called once, before other
+/// threads start.
 void initLog(const std::string& program, std::size_t ringLines = 4096);
 
-/// Into the ring only.
+/// Adds a line to the ring only.
 void logEvent(std::string_view event, std::initializer_list<LogField> fields = {});
-/// Into the ring and, at once, to the error stream: start, ready, stop.
+/// Adds a line to the ring and writes it to the error stream at once; for start, readiness and
+/// shutdown.
 void logNotice(std::string_view event, std::initializer_list<LogField> fields = {});
-/// Writes the ring out, this line last. Rate-limited: once a second at most.
+/// Adds a line to the ring and writes the ring to the error stream, at most once a second.
 void logError(std::string_view event, const base::Error& error,
               std::initializer_list<LogField> fields = {});
-/// Writes the ring out.
+/// Writes the ring to the error stream.
 void dumpLog();
 
 }  // namespace walnut::runtime
--- a/include/walnut/runtime/metrics_sink.h
+++ b/include/walnut/runtime/metrics_sink.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What a single-threaded part of a process counts, apart from how it is published.
+/// Interface through which a single-threaded part of a process records metrics, independent of how
+/// they are published.
 
 #include <string>
 
@@ -11,12 +12,12 @@
 class MetricsSink {
  public:
   virtual ~MetricsSink() = default;
-  /// @param outcome the last value of the counter's label.
+  /// @param outcome value of the counter's last label.
   virtual void count(const char* name, const std::string& outcome) = 0;
   virtual void observe(const char* name, base::Duration duration) = 0;
 };
 
-/// Counts nothing; for tests.
+/// Metrics sink that discards all values; for tests.
 class NullMetricsSink : public MetricsSink {
  public:
   void count(const char* /*name*/, const std::string& /*outcome*/) override {}
--- a/include/walnut/runtime/settings.h
+++ b/include/walnut/runtime/settings.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Checked settings: a YAML file, and command line flags over it. Each program declares its keys;
-/// an unknown key, a wrong type or a value out of range is refused with file, line and key, and the
-/// accepted range, before anything starts.
+/// Validated settings from a YAML file and from command line flags, which override it. Each program
+/// declares its keys; an unknown key, a wrong type or a value out of range is refused with file,
+/// line, key and accepted range before anything starts.
 
 #include <cstdint>
 #include <functional>
@@ -18,10 +18,10 @@
 /// Exit codes of all programs; docs/OPERATIONS.md lists them.
 enum class ExitCode : int {
   ok = 0,
-  failed = 1,         ///< The work was done and its outcome is negative.
-  usage = 2,          ///< Bad flags.
-  badSettings = 3,    ///< Settings refused.
-  unavailable = 4,    ///< Could not reach or bind something.
+  failed = 1,         ///< The work was done, with a negative result.
+  usage = 2,          ///< The flags are invalid.
+  badSettings = 3,    ///< The settings were refused.
+  unavailable = 4,    ///< An address could not be reached or bound.
   conflict = 5,       ///< walnutctl: version conflict.
   notFound = 6,       ///< walnutctl: no such resource.
   storageFailed = 7,  ///< The data folder can't be used.
@@ -30,7 +30,7 @@
 
 /// Registry of the keys of one program. Each `add` binds a key to a variable that holds its
 /// default. A key `probe-interval-ms` is both the YAML key and the flag `--probe-interval-ms`.
-/// `help` is one line with the unit.
+/// `help` is one line that states the unit.
 class Settings {
  public:
   Settings(std::string program, std::string summary);
@@ -43,25 +43,26 @@
   void addReal(const std::string& key, double& value, double low, double high,
                const std::string& help);
   void addBoolean(const std::string& key, bool& value, const std::string& help);
-  /// Milliseconds.
+  /// Adds a duration that is given in milliseconds.
   void addMillis(const std::string& key, base::Duration& value, std::int64_t low, std::int64_t high,
                  const std::string& help);
   void addEndpoint(const std::string& key, base::Endpoint& value, const std::string& help);
-  /// In YAML a list, as a flag comma-separated.
+  /// Adds a list of texts: a list in YAML, comma-separated as a flag.
   void addStringList(const std::string& key, std::vector<std::string>& value,
                      const std::string& help);
   void addEndpointList(const std::string& key, std::vector<base::Endpoint>& value,
                        const std::string& help);
 
-  /// What `parse` found beside the settings.
+  /// Result of `parse` apart from the settings.
   struct Parsed {
-    bool exitNow = false;  ///< --help, --version or --check-settings was served.
+    bool exitNow = false;  ///< --help, --version or --check-settings was handled.
     ExitCode exitCode = ExitCode::ok;
     std::vector<std::string> positional;
   };
 
-  /// Reads `--settings FILE` if given, then the flags over it (getopt_long). Prints help, version
-  /// or the typed error itself; on an error `exitNow` is set and nothing may be started.
+  /// Reads `--settings FILE` if given, then the flags, which override it (getopt_long). Prints
+  /// help, version or the typed error itself; on an error `exitNow` is set and nothing may be
+  /// started.
   Parsed parse(int argc, char** argv);
 
   /// Applies a YAML document; for tests and `--settings`. Errors name file, line and key.
@@ -85,7 +86,7 @@
   std::vector<Key> keys_;
 };
 
-/// @return "ADDRESS:PORT" parsed; the address must be an IP number.
+/// @return the endpoint given as "ADDRESS:PORT"; the address must be an IP number.
 base::Result<base::Endpoint> parseEndpoint(const std::string& text);
 std::string formatEndpoint(const base::Endpoint& endpoint);
 
--- a/src/runtime/clock.cpp
+++ b/src/runtime/clock.cpp
@@ -20,8 +20,8 @@
 }  // namespace
 
 base::TimePoint now() {
-  // The boot clock also counts while the machine is suspended, so that a lease that ended during a
-  // suspension is seen as ended.
+  // The boot clock also counts while the machine is suspended, so that a lease that expired
+  // during a suspension is recognised as expired.
   static const std::int64_t kOffset = readMicros(CLOCK_REALTIME) - readMicros(CLOCK_BOOTTIME);
   return base::fromMicros(kOffset + readMicros(CLOCK_BOOTTIME));
 }
--- a/src/runtime/event_log.cpp
+++ b/src/runtime/event_log.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// In the order of LogEvent.
+/// Names of the events, in the order of LogEvent.
 constexpr std::array<std::string_view, 68> kNames = {
     "process-started",     "process-stopping",    "process-stopped",   "settings-reloaded",
     "dependency-lost",     "dependency-regained", "lines-dropped",     "role-changed",
--- a/src/runtime/inbox.h
+++ b/src/runtime/inbox.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Queue in front of the one decision loop of a process.
+/// Input queue of a process's single decision loop.
 
 #include <algorithm>
 #include <condition_variable>
@@ -16,9 +16,9 @@
 
 namespace walnut::runtime {
 
-/// Many producers, one consumer. Items leave in the order of `push`. The batch is bounded so that
-/// the consumer gets back to its timers under a flood; the queue itself is not: producers that
-/// admit outside work bound it by `size`.
+/// Queue with many producers and one consumer, in first-in, first-out order. The batch is bounded
+/// so that the consumer still serves its timers under overload; the queue itself is unbounded:
+/// producers that admit external work limit it by `size`.
 template <class T>
 class Inbox {
  public:
@@ -34,7 +34,8 @@
     ready_.notify_one();
   }
 
-  /// @return the queued items, at most `maxBatch`; empty once `deadline` has passed without any.
+  /// Waits for items until `deadline`.
+  /// @return the queued items, at most `maxBatch`; empty if none came before `deadline`.
   std::vector<T> waitUntil(base::TimePoint deadline) {
     std::unique_lock lock(mutex_);
     while (items_.empty()) {
@@ -42,8 +43,8 @@
       if (time >= deadline) {
         break;
       }
-      // Bounded, as the condition variable adds the wait to its own clock, which would overflow and
-      // stands still while the machine is suspended.
+      // The wait is bounded because the condition variable adds it to its own clock: the sum could
+      // overflow, and that clock stops while the machine is suspended.
       ready_.wait_for(lock, std::min<base::Duration>(deadline - time, kLongestWait));
     }
     const std::size_t count = std::min(items_.size(), maxBatch_);
@@ -60,8 +61,8 @@
   }
 
  private:
-  /// How late a deadline may be seen after a suspension. A controller's or router's loop has
-  /// timers more often than that.
+  /// Maximum delay in noticing a deadline after a suspension. The timers of a controller's or
+  /// router's loop are more frequent than this.
   static constexpr base::Duration kLongestWait = std::chrono::milliseconds(500);
 
   const std::size_t maxBatch_;
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -24,7 +24,8 @@
 
 constexpr base::Duration kDumpInterval = std::chrono::seconds(1);
 constexpr std::size_t kDefaultRingLines = 4096;
-/// A crash handler that can't get through (say, the heap's lock is held) is ended by SIGALRM.
+/// Time limit of a crash handler: one that blocks (for example on the heap's lock) is ended by
+/// SIGALRM.
 constexpr unsigned kCrashDumpSeconds = 2;
 constexpr std::array kCrashSignals = {SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT};
 constexpr const char* kPattern =
@@ -43,8 +44,8 @@
   }
 }
 
-/// The ring and what of it was written out. Every use of the sink is under `mutex_`, so that a
-/// crash handler which gets the mutex also gets the sink.
+/// Ring of log lines that tracks which of them have been dumped. Every use of the sink holds
+/// `mutex_`, so that a crash handler which acquires the mutex can also use the sink.
 class Ring {
  public:
   Ring(const std::string& program, std::size_t lines)
@@ -102,7 +103,7 @@
     }
   }
 
-  /// Each line is written out once: what an earlier dump had is left out.
+  /// Writes the lines that no earlier dump has written. The caller holds `mutex_`.
   void dumpLocked() {
     const std::size_t lines = std::min(undumpedLines_, capacity_);
     if (lines > 0) {
@@ -153,8 +154,8 @@
   }
 }
 
-/// SIGUSR1 is blocked in all threads and taken by one that waits for it, so that the dump runs as
-/// ordinary code and not inside a signal handler.
+/// Starts the thread that dumps the ring on SIGUSR1. The signal is blocked in all threads and this
+/// one waits for it, so that the dump runs as ordinary code and not inside a signal handler.
 void startDumpThread() {
   sigset_t signals;
   sigemptyset(&signals);
--- a/src/runtime/log_fields.cpp
+++ b/src/runtime/log_fields.cpp
@@ -25,7 +25,7 @@
     } else if (character == '\n') {
       line += "\\n";
     } else if (code < ' ' || code >= 0x7f) {
-      // Also what may be no valid text: a line must stay readable for any tool.
+      // Bytes that may not be valid text are escaped too, so that any tool can read the line.
       line += "\\x";
       line += kHexDigits[code >> 4U];
       line += kHexDigits[code & 0xfU];
--- a/src/runtime/log_fields.h
+++ b/src/runtime/log_fields.h
@@ -7,7 +7,7 @@
 
 namespace walnut::runtime {
 
-/// Appends " key=value"; the value is quoted where a reader could else not tell its end;
+/// Appends " key=value"; the value is quoted if a parser could not find its end otherwise;
 /// bytes that are not printable ASCII are written as \xHH.
 void appendField(std::string& line, std::string_view key, std::string_view value);
 
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -13,14 +13,14 @@
 
 namespace walnut::runtime {
 
-/// Registry of a process. Thread safe. Asking again for a name and labels yields the same metric;
-/// references stay valid for the life of the registry. A histogram's bounds are those of the first
-/// call.
+/// Registry of a process's metrics; thread-safe. Repeated calls with the same name and labels
+/// return the same metric; references stay valid for the lifetime of the registry. A histogram
+/// keeps the bounds of the first call.
 class Metrics {
  public:
   using Labels = std::map<std::string, std::string>;
 
-  /// Only grows; by convention the name ends in `_total`.
+  /// @return a counter, which only grows; by convention its name ends in `_total`.
   prometheus::Counter& counter(const std::string& name, const std::string& help,
                                const Labels& labels = {});
   prometheus::Gauge& gauge(const std::string& name, const std::string& help,
--- a/src/runtime/output_log.cpp
+++ b/src/runtime/output_log.cpp
@@ -16,19 +16,19 @@
 namespace {
 
 constexpr const char* kPattern = "time=%Y-%m-%dT%H:%M:%S.%eZ program=%n %v";
-/// A pipe that is ready takes this much without blocking (PIPE_BUF).
-constexpr std::size_t kPieceBytes = 4096;
+/// Number of bytes that a writable pipe accepts without blocking (PIPE_BUF).
+constexpr std::size_t kWriteChunkBytes = 4096;
 constexpr std::size_t kFlushBytes = 2048;
 constexpr base::Duration kFlushInterval = std::chrono::milliseconds(200);
 
-bool takesOutput(int descriptor) {
+bool isWritable(int descriptor) {
   pollfd entry{descriptor, POLLOUT, 0};
   return ::poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
 }
 
 }  // namespace
 
-/// Formatted lines that wait to be written.
+/// Formatted lines that have not been written yet.
 class OutputLog::Buffer : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   std::string text;
@@ -76,9 +76,9 @@
 void OutputLog::flush() {
   std::string& text = buffer_->text;
   std::size_t written = 0;
-  while (written < text.size() && takesOutput(descriptor_)) {
-    const std::size_t piece = std::min(kPieceBytes, text.size() - written);
-    const ssize_t count = ::write(descriptor_, text.data() + written, piece);
+  while (written < text.size() && isWritable(descriptor_)) {
+    const std::size_t chunk = std::min(kWriteChunkBytes, text.size() - written);
+    const ssize_t count = ::write(descriptor_, text.data() + written, chunk);
     if (count <= 0) {
       break;
     }
--- a/src/runtime/output_log.h
+++ b/src/runtime/output_log.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The decision log on a file descriptor.
+/// Decision log that writes to a file descriptor.
 
 #include <spdlog/logger.h>
 
@@ -12,20 +12,20 @@
 
 namespace walnut::runtime {
 
-/// Lines wait in memory, up to a bound, and are written by `flush` as far as the descriptor takes
-/// them without blocking. Owned by one thread.
+/// Buffers lines in memory up to a limit; `flush` writes as many as the descriptor accepts without
+/// blocking. Owned by one thread.
 class OutputLog : public EventLog {
  public:
   static constexpr std::size_t kMaxBufferedBytes = 256U << 10U;
 
-  /// @param program named in each line.
+  /// @param program name of the program, shown in each line.
   OutputLog(const std::string& program, int descriptor);
   ~OutputLog() override;
   OutputLog(const OutputLog&) = delete;
   OutputLog& operator=(const OutputLog&) = delete;
 
   void write(LogEvent event, std::initializer_list<EventField> fields) override;
-  /// Writes what waits, if there is much of it or the last time is a while ago.
+  /// Flushes if much is buffered or the last flush was some time ago.
   void flushIfDue(base::TimePoint now);
   void flush();
   std::uint64_t droppedLines() const { return dropped_; }
--- a/src/runtime/prometheus_sink.h
+++ b/src/runtime/prometheus_sink.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Counters and histograms of a process in the Prometheus format.
+/// Metrics sink that records counters and histograms in the Prometheus format.
 
 #include "runtime/metrics.h"
 #include "walnut/runtime/metrics_sink.h"
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char* kEndpointRange = "IP-NUMBER:PORT, port 0 .. 65535";
 
-/// @return the value of a text that is one number as a whole.
+/// @return the number that makes up the whole text, or an error.
 template <class Number>
 Result<Number> parseNumber(const std::string& text, Number low, Number high) {
   Number value{};
@@ -27,7 +27,7 @@
   if (rest != end || (failure != std::errc() && !overflow)) {
     return Error{ErrorCode::wrongType, "", "not a number of this kind"};
   }
-  // The negated form also refuses a value that is not a number (NaN).
+  // The condition is negated so that NaN is refused as well.
   if (overflow || !(value >= low && value <= high)) {
     return Error{ErrorCode::outOfRange, "", "out of range"};
   }
@@ -38,7 +38,7 @@
   constexpr std::size_t kLongestReal = 32;
   std::string text(kLongestReal, '\0');
   const auto [end, failure] = std::to_chars(text.data(), text.data() + text.size(), value);
-  (void)failure;  // The shortest form of any double fits.
+  (void)failure;  // The buffer holds the shortest form of any double.
   text.resize(static_cast<std::size_t>(end - text.data()));
   return text;
 }
--- a/src/runtime/settings_flags.cpp
+++ b/src/runtime/settings_flags.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings from the command line (getopt_long), over those of a file.
+/// Settings from the command line (getopt_long), which override those of a file.
 
 #include <getopt.h>
 
@@ -28,19 +28,19 @@
 constexpr const char* kVersionFlag = "version";
 constexpr const char* kCheckFlag = "check-settings";
 
-/// One flag as it was given.
-struct GivenFlag {
+/// One flag from the command line.
+struct FlagValue {
   std::string name;
   std::string value;
 };
 
-/// The command line, taken apart but not yet applied.
+/// The parsed command line, not yet applied to the settings.
 struct CommandLine {
   bool help = false;
   bool version = false;
   bool check = false;
   std::optional<std::string> settingsFile;
-  std::vector<GivenFlag> flags;
+  std::vector<FlagValue> flags;
   std::vector<std::string> positional;
 };
 
@@ -56,7 +56,7 @@
   return options;
 }
 
-void take(CommandLine& line, const std::string& name, const char* argument) {
+void storeFlag(CommandLine& line, const std::string& name, const char* argument) {
   if (name == kHelpFlag) {
     line.help = true;
   } else if (name == kVersionFlag) {
@@ -74,10 +74,10 @@
   const std::vector<option> options = makeOptions(keys);
   CommandLine line;
   std::set<std::string> seen;
-  optind = 0;  // GNU: starts over, so that tests may parse more than once.
+  optind = 0;  // With GNU getopt 0 restarts the scan, so that tests can parse more than once.
   opterr = 0;
   int index = 0;
-  // The leading ':' tells a missing argument from an unknown flag.
+  // With a leading ':' getopt reports a missing argument differently from an unknown flag.
   int found = getopt_long(argc, argv, ":", options.data(), &index);
   while (found != -1) {
     if (found != 0) {
@@ -89,7 +89,7 @@
     if (!seen.insert(name).second) {
       return Error{ErrorCode::malformedInput, "--" + name, "the flag is given twice"};
     }
-    take(line, name, optarg);
+    storeFlag(line, name, optarg);
     found = getopt_long(argc, argv, ":", options.data(), &index);
   }
   line.positional.assign(argv + optind, argv + argc);
@@ -101,7 +101,7 @@
     std::ifstream file;
     file.exceptions(std::ios::failbit | std::ios::badbit);
     file.open(fileName, std::ios::binary);
-    // The buffer's iterator throws when a read fails, as on a folder.
+    // The buffer's iterator throws when a read fails, for example on a directory.
     return std::string(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>());
   } catch (const std::ios_base::failure&) {
     return Error{ErrorCode::fileError, fileName, std::generic_category().message(errno)};
@@ -165,7 +165,7 @@
       return refuse(ExitCode::badSettings, applied.error());
     }
   }
-  for (const GivenFlag& flag : line.flags) {
+  for (const FlagValue& flag : line.flags) {
     const Key* key = find(flag.name);
     const auto values =
         key->list ? splitAtCommas(flag.value) : std::vector<std::string>{flag.value};
--- a/src/runtime/settings_yaml.cpp
+++ b/src/runtime/settings_yaml.cpp
@@ -15,7 +15,7 @@
 using base::ErrorCode;
 using base::Result;
 
-/// yaml-cpp counts lines from zero.
+/// @return "FILE:LINE"; yaml-cpp counts lines from zero.
 std::string location(const std::string& fileName, const YAML::Mark& mark) {
   return fileName + ":" + std::to_string(mark.line + 1);
 }
@@ -41,14 +41,14 @@
   return values;
 }
 
-std::string show(const YAML::Node& node) {
+std::string describeValue(const YAML::Node& node) {
   return node.IsScalar() ? "'" + node.Scalar() + "'" : "the value";
 }
 
 /// @return the single document of the text.
 Result<YAML::Node> loadDocument(const std::string& text, const std::string& fileName) {
   try {
-    // yaml-cpp takes the end of line before the end of the text as the end of an open quote.
+    // yaml-cpp accepts a line break at the end of the text as the end of an open quote.
     const std::string trimmed = text.substr(0, text.find_last_not_of(" \t\r\n") + 1);
     const std::vector<YAML::Node> documents = YAML::LoadAll(trimmed);
     if (documents.size() > 1) {
@@ -91,7 +91,7 @@
         values.has_value() ? key->assign(values.value()) : Result<void>(values.error());
     if (assigned.has_error()) {
       return Error{assigned.error().code, name,
-                   place + ": " + show(pair.second) + ": " + assigned.error().detail +
+                   place + ": " + describeValue(pair.second) + ": " + assigned.error().detail +
                        "; accepted: " + key->range};
     }
   }
--- a/test/runtime/log_test.cpp
+++ b/test/runtime/log_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Redirects the error stream into a pipe while it lives.
+/// Redirects the error stream into a pipe for the lifetime of the object.
 class CapturedErrorStream {
  public:
   CapturedErrorStream() : saved_(dup(STDERR_FILENO)) {
@@ -25,13 +25,15 @@
   CapturedErrorStream(const CapturedErrorStream&) = delete;
   CapturedErrorStream& operator=(const CapturedErrorStream&) = delete;
 
-  /// @return what was written, up to the end.
+  /// Ends the redirection.
+  /// @return everything that was written.
   std::string finish() {
     restore();
     return readUntil("");
   }
 
-  /// @return what was written, at least up to `end`; blocks until then.
+  /// Blocks until `end` has been written.
+  /// @return the text read so far, which contains `end`.
   std::string readUntil(const std::string& end) {
     std::string text;
     std::array<char, 4096> buffer{};
@@ -67,7 +69,8 @@
 
 }  // namespace
 
-/// Each test logs into a ring of its own; the handlers are set up once, as in a program.
+/// All tests share one ring, emptied before each test; the handlers are set up once, as in a
+/// program.
 TEST_GROUP(LogTest){void setup() override{static const bool kStarted = [] {
   runtime::initLog("walnut-example", 3);
   return true;
@@ -89,7 +92,7 @@
   CHECK_TRUE(contains(text, "program=walnut-example"));
   const std::size_t ready = text.find("event=ready port=80\n");
   const std::size_t first = text.find("event=first\n");
-  CHECK_TRUE(ready < first);  // The notice at once, the event only with the dump.
+  CHECK_TRUE(ready < first);  // The notice is written at once, the event only by the dump.
   CHECK_TRUE(contains(text, "event=second size=5\n"));
 }
 
@@ -106,7 +109,7 @@
   LONGS_EQUAL(text.find("index=5\n"), text.rfind("index=5\n"));
 }
 
-TEST(LogTest, valuesAreQuotedWhereTheyNeedIt) {
+TEST(LogTest, valuesAreQuotedWhereNeeded) {
   CapturedErrorStream errorStream;
   runtime::logEvent("quoted", {{"empty", ""}, {"text", "a \"b\"\n\x01="}, {"plain", "x-1.y/z"}});
   runtime::dumpLog();
--- a/test/runtime/output_log_test.cpp
+++ b/test/runtime/output_log_test.cpp
@@ -1,4 +1,4 @@
-/// The decision log on a pipe.
+/// Tests of the decision log when it writes to a pipe.
 
 #include "runtime/output_log.h"
 
@@ -7,7 +7,7 @@
 
 #include <array>
 
-// Last: it redefines new.
+// Included last, as it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -37,7 +37,7 @@
   }
 };
 
-TEST(OutputLogTest, aLineHasItsEventAndFields) {
+TEST(OutputLogTest, lineContainsEventAndFields) {
   OutputLog log("program", ends[1]);
   log.write(LogEvent::workerSilent, {{"worker", "i-1"}, {"reason", "two words"}});
   log.flush();
@@ -46,14 +46,14 @@
         std::string::npos);
 }
 
-TEST(OutputLogTest, bytesThatAreNoTextAreEscaped) {
+TEST(OutputLogTest, bytesThatAreNotTextAreEscaped) {
   OutputLog log("program", ends[1]);
   log.write(LogEvent::documentRefused, {{"detail", "byte \xff"}});
   log.flush();
   CHECK(readAll().find("detail=\"byte \\xff\"") != std::string::npos);
 }
 
-TEST(OutputLogTest, aReaderThatStopsCostsLinesAndNoTime) {
+TEST(OutputLogTest, stalledReaderCausesDroppedLinesWithoutBlocking) {
   OutputLog log("program", ends[1]);
   const std::string filler(1000, 'x');
   for (int line = 0; line < 2000; ++line) {
@@ -68,7 +68,7 @@
       return;
     }
   }
-  FAIL("what was dropped was not told");
+  FAIL("the number of dropped lines was not logged");
 }
 
 TEST(OutputLogTest, everyEventHasAName) {
--- a/test/runtime/settings_test.cpp
+++ b/test/runtime/settings_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// All kinds of keys.
+/// Settings with one key of every kind, and the variables they are bound to.
 struct Values {
   std::string name = "unnamed";
   std::string mode = "fast";
