--- a/include/walnut/resource/types.h
+++ b/include/walnut/resource/types.h
@@ -90,8 +90,8 @@
   /// With `learned`: how many seconds one whole accelerator may idle to save a request one second
   /// of cold start.
   std::uint32_t idleSecondsPerColdSecond = 60;
-  /// With `learned`: a cold start that takes longer than this counts more, in proportion; 0: all
-  /// cold starts count the same.
+  /// With `learned`: a cold start that takes longer than this counts more, by the ratio of its
+  /// duration to the target; 0: all cold-start seconds count the same.
   std::uint32_t coldStartTargetSeconds = 0;
   bool operator==(const CapacityBudgetSpec&) const = default;
   template <class Archive>
--- a/include/walnut/runtime/log.h
+++ b/include/walnut/runtime/log.h
@@ -33,7 +33,8 @@
 /// Adds a line to the ring and writes it to the error stream at once; for start, readiness and
 /// shutdown.
 void logNotice(std::string_view event, std::initializer_list<LogField> fields = {});
-/// Adds a line to the ring and writes the ring to the error stream, at most once a second.
+/// Adds a line to the ring and writes the ring to the error stream, this line last. The ring is
+/// written at most once a second; lines held back by this limit follow with a later line.
 void logError(std::string_view event, const base::Error& error,
               std::initializer_list<LogField> fields = {});
 /// Writes the ring to the error stream.
--- a/include/walnut/runtime/settings.h
+++ b/include/walnut/runtime/settings.h
@@ -53,7 +53,7 @@
   void addEndpointList(const std::string& key, std::vector<base::Endpoint>& value,
                        const std::string& help);
 
-  /// Result of `parse` apart from the settings.
+  /// What `parse` returns in addition to the settings that it assigns.
   struct Parsed {
     bool exitNow = false;  ///< --help, --version or --check-settings was handled.
     ExitCode exitCode = ExitCode::ok;
--- a/src/runtime/inbox.h
+++ b/src/runtime/inbox.h
@@ -43,8 +43,8 @@
       if (time >= deadline) {
         break;
       }
-      // The wait is bounded because the condition variable adds it to its own clock: the sum could
-      // overflow, and that clock stops while the machine is suspended.
+      // The wait is bounded because the condition variable adds it to its own clock: the sum would
+      // overflow for distant deadlines, and that clock stops while the machine is suspended.
       ready_.wait_for(lock, std::min<base::Duration>(deadline - time, kLongestWait));
     }
     const std::size_t count = std::min(items_.size(), maxBatch_);
--- a/test/resource/validation_test.cpp
+++ b/test/resource/validation_test.cpp
@@ -4,7 +4,7 @@
 #include <limits>
 #include <vector>
 
-// Included last: its macro for `new` breaks the standard library's headers.
+// Included last: its macro for `new` breaks the headers of the library.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
--- a/test/runtime/log_test.cpp
+++ b/test/runtime/log_test.cpp
@@ -32,8 +32,8 @@
     return readUntil("");
   }
 
-  /// Blocks until `end` has been written.
-  /// @return the text read so far, which contains `end`.
+  /// Blocks until `end` has been written or, if `end` is empty, until the pipe is closed.
+  /// @return the text that was read.
   std::string readUntil(const std::string& end) {
     std::string text;
     std::array<char, 4096> buffer{};
