--- a/include/walnut/routing/router.h
+++ b/include/walnut/routing/router.h
@@ -28,7 +28,7 @@
   base::Duration probeInterval = std::chrono::milliseconds(500);
   /// Maximum age of a confirmation; beyond it UnconfirmedPolicy applies.
   base::Duration freshnessLimit = std::chrono::seconds(3);
-  UnconfirmedPolicy whenUnconfirmed = UnconfirmedPolicy::refuse;
+  UnconfirmedPolicy unconfirmedPolicy = UnconfirmedPolicy::refuse;
   base::Duration demandInterval = std::chrono::milliseconds(200);
   base::Duration defaultDeadline = std::chrono::seconds(60);
   base::Duration maxDeadline = std::chrono::hours(12);
@@ -37,7 +37,7 @@
   std::uint32_t maxRunningPerReplica = 32;  ///< Requests of this router; the engine batches them.
   /// Maximum number of exported states that this process stores while no engine can hold them; 0
   /// disables storing.
-  std::uint32_t maxKeptStates = 8;
+  std::uint32_t maxStoredStates = 8;
   std::uint32_t maxAttempts = 4;
   double retryBudgetRatio = 0.2;  ///< Retries per first attempt, over a sliding window.
   base::Duration retryBackoffMin = std::chrono::milliseconds(20);
@@ -75,7 +75,7 @@
   CallerRequest request;
 };
 /// The caller closed its connection: the router cancels the request.
-struct CallerGone {
+struct CallerDisconnected {
   base::RequestId request;
 };
 /// Event of an attempt. A connection failure is reported as GenerateFailed.
@@ -87,14 +87,14 @@
   base::AttemptId attempt;
   engine::ExportResult result;
 };
-/// Result of a KeepState action.
-struct StateKept {
+/// Result of a StoreState action.
+struct StateStored {
   base::RequestId request;
   base::AttemptId attempt;
   base::Result<void> result;
 };
-/// Result of a HoldState or PutState action.
-struct EngineHeld {
+/// Result of a HoldState or UploadState action.
+struct StateHoldAnswered {
   base::EngineId engine;
   base::RequestId request;
   base::AttemptId attempt;
@@ -124,9 +124,10 @@
 struct PlannedStop {};
 /// @}
 
-using RouterInput = std::variant<CallerRequested, CallerGone, EngineEvent, EngineExported,
-                                 StateKept, EngineHeld, CacheEventsRead, ControllerConnected,
-                                 ControllerDisconnected, ControllerMessage, Tick, PlannedStop>;
+using RouterInput =
+    std::variant<CallerRequested, CallerDisconnected, EngineEvent, EngineExported, StateStored,
+                 StateHoldAnswered, CacheEventsRead, ControllerConnected, ControllerDisconnected,
+                 ControllerMessage, Tick, PlannedStop>;
 
 /// @name Outputs
 /// @{
@@ -170,28 +171,28 @@
   base::Endpoint endpoint;
   engine::ExportRequest exportRequest;
 };
-/// Asks an engine to hold the exported state of an attempt. EngineHeld must follow.
+/// Asks an engine to hold the exported state of an attempt. StateHoldAnswered must follow.
 struct HoldState {
   base::EngineId engine;
   base::Endpoint endpoint;
   engine::HoldRequest hold;
 };
 /// Fetches the exported state of an attempt, which removes it at the source, and stores it in this
-/// process. StateKept must follow.
-struct KeepState {
+/// process. StateStored must follow.
+struct StoreState {
   base::RequestId request;
   base::AttemptId attempt;
   engine::KvSource source;
 };
 /// Uploads the stored state to an engine that is to hold it; this process still stores it.
-/// EngineHeld must follow.
-struct PutState {
+/// StateHoldAnswered must follow.
+struct UploadState {
   base::EngineId engine;
   base::Endpoint endpoint;
   engine::PutRequest put;
 };
 /// Discards the stored state, or cancels its fetch if that is still in progress.
-struct DropState {
+struct DiscardState {
   base::RequestId request;
   base::AttemptId attempt;
 };
@@ -213,7 +214,7 @@
 
 using RouterAction =
     std::variant<CallerToken, CallerEnded, CallerRefused, StartAttempt, CancelAttempt,
-                 ExportAttempt, HoldState, KeepState, PutState, DropState, OpenController,
+                 ExportAttempt, HoldState, StoreState, UploadState, DiscardState, OpenController,
                  CloseController, SendToController, RouterStopped>;
 
 /// Name of a model or adapter that callers may request.
@@ -235,7 +236,7 @@
 
 /// Decision logic of one router. It is deterministic, does no I/O and is owned by one decision
 /// loop. Each request gets exactly one terminal output (CallerEnded or CallerRefused), and none
-/// after CallerGone.
+/// after CallerDisconnected.
 class Router {
  public:
   virtual ~Router() = default;
--- a/src/daemon/router_host.cpp
+++ b/src/daemon/router_host.cpp
@@ -77,7 +77,7 @@
 }
 
 void RouterHost::callerGone(const base::RequestId& request) {
-  inbox_.push(routing::RouterInput(routing::CallerGone{request}));
+  inbox_.push(routing::RouterInput(routing::CallerDisconnected{request}));
 }
 
 std::vector<routing::ServedName> RouterHost::servedNames() {
@@ -112,9 +112,9 @@
 void RouterHost::take(routing::RouterInput input) {
   if (const auto* event = std::get_if<routing::EngineEvent>(&input)) {
     noteAttemptEvent(event->event);
-  } else if (const auto* gone = std::get_if<routing::CallerGone>(&input)) {
+  } else if (const auto* gone = std::get_if<routing::CallerDisconnected>(&input)) {
     noteCallerGone(gone->request);
-  } else if (const auto* held = std::get_if<routing::EngineHeld>(&input)) {
+  } else if (const auto* held = std::get_if<routing::StateHoldAnswered>(&input)) {
     metrics_.observeHold(held->result.has_value());
   }
   router_->step(now_, input);
@@ -155,7 +155,7 @@
   } else {
     result = fetched.state.error();
   }
-  router_->step(now_, routing::StateKept{fetched.request, fetched.attempt, result});
+  router_->step(now_, routing::StateStored{fetched.request, fetched.attempt, result});
 }
 
 void RouterHost::take(const ShutDown&) { shutDown_ = true; }
@@ -260,12 +260,12 @@
   const engine::HoldRequest& wanted = request.hold;
   engineClient_->holdKv(request.endpoint, wanted,
                         [this, wanted, engine = request.engine](const engine::HoldResult& result) {
-                          inbox_.push(routing::RouterInput(
-                              routing::EngineHeld{engine, wanted.request, wanted.attempt, result}));
+                          inbox_.push(routing::RouterInput(routing::StateHoldAnswered{
+                              engine, wanted.request, wanted.attempt, result}));
                         });
 }
 
-void RouterHost::perform(routing::KeepState& request) {
+void RouterHost::perform(routing::StoreState& request) {
   keptStates_[{request.request, request.attempt}].clear();
   engineClient_->fetchState(request.source, [this, id = request.request, attempt = request.attempt](
                                                 base::Result<std::string> state) {
@@ -273,16 +273,16 @@
   });
 }
 
-void RouterHost::perform(routing::PutState& request) {
+void RouterHost::perform(routing::UploadState& request) {
   const engine::PutRequest& put = request.put;
   engineClient_->putState(request.endpoint, put, keptStates_[{put.request, put.attempt}],
                           [this, put, engine = request.engine](const engine::HoldResult& result) {
-                            inbox_.push(routing::RouterInput(
-                                routing::EngineHeld{engine, put.request, put.attempt, result}));
+                            inbox_.push(routing::RouterInput(routing::StateHoldAnswered{
+                                engine, put.request, put.attempt, result}));
                           });
 }
 
-void RouterHost::perform(routing::DropState& request) {
+void RouterHost::perform(routing::DiscardState& request) {
   keptStates_.erase({request.request, request.attempt});
 }
 
--- a/src/daemon/router_host.h
+++ b/src/daemon/router_host.h
@@ -102,9 +102,9 @@
   void perform(routing::CancelAttempt& cancel);
   void perform(routing::ExportAttempt& request);
   void perform(routing::HoldState& request);
-  void perform(routing::KeepState& request);
-  void perform(routing::PutState& request);
-  void perform(routing::DropState& request);
+  void perform(routing::StoreState& request);
+  void perform(routing::UploadState& request);
+  void perform(routing::DiscardState& request);
   void perform(routing::OpenController& open);
   void perform(routing::CloseController& close);
   void perform(routing::SendToController& send);
--- a/src/daemon/router_settings.cpp
+++ b/src/daemon/router_settings.cpp
@@ -29,7 +29,7 @@
       maxRunningPerReplica_(settings_.logic.maxRunningPerReplica),
       maxAttempts_(settings_.logic.maxAttempts),
       breakerFailures_(settings_.logic.breakerFailures),
-      maxKeptStates_(settings_.logic.maxKeptStates),
+      maxKeptStates_(settings_.logic.maxStoredStates),
       maxConnections_(settings_.api.maxConnections),
       maxStreams_(asInteger(settings_.streams.maxStreams)),
       callThreads_(asInteger(settings_.calls.threads)),
@@ -131,14 +131,14 @@
   }
   logic.cell = {static_cast<std::uint16_t>(region_), static_cast<std::uint16_t>(cell_)};
   logic.zone = {zone_};
-  logic.whenUnconfirmed = whenUnconfirmed_ == "serve" ? routing::UnconfirmedPolicy::serve
-                                                      : routing::UnconfirmedPolicy::refuse;
+  logic.unconfirmedPolicy = whenUnconfirmed_ == "serve" ? routing::UnconfirmedPolicy::serve
+                                                        : routing::UnconfirmedPolicy::refuse;
   logic.maxQueuedPerTarget = static_cast<std::size_t>(maxQueuedPerTarget_);
   logic.maxQueued = static_cast<std::size_t>(maxQueued_);
   logic.maxRunningPerReplica = static_cast<std::uint32_t>(maxRunningPerReplica_);
   logic.maxAttempts = static_cast<std::uint32_t>(maxAttempts_);
   logic.breakerFailures = static_cast<std::uint32_t>(breakerFailures_);
-  logic.maxKeptStates = static_cast<std::uint32_t>(maxKeptStates_);
+  logic.maxStoredStates = static_cast<std::uint32_t>(maxKeptStates_);
   settings_.calls.maxReplyBytes = static_cast<std::size_t>(maxStateMegabytes_) << 20U;
   settings_.api.maxConnections = static_cast<int>(maxConnections_);
   settings_.streams.maxStreams = static_cast<std::size_t>(maxStreams_);
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -72,7 +72,7 @@
   }
   move.localCopy = LocalCopy::no;
   --core_.storedStates;
-  core_.actions.emplace_back(DropState{request.caller.request, move.source.id});
+  core_.actions.emplace_back(DiscardState{request.caller.request, move.source.id});
 }
 
 void RequestLifecycle::setPhaseDeadline(Request& request, base::TimePoint at) {
--- a/src/routing/router_core.h
+++ b/src/routing/router_core.h
@@ -39,7 +39,7 @@
   /// configuration is known, so nothing is served whatever the policy.
   bool canServe() const {
     const bool everConfirmed = freshness.confirmedAt().has_value();
-    const bool serveStale = options.whenUnconfirmed == UnconfirmedPolicy::serve && everConfirmed;
+    const bool serveStale = options.unconfirmedPolicy == UnconfirmedPolicy::serve && everConfirmed;
     return serveStale || freshness.confirmed(now);
   }
 
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -67,7 +67,7 @@
 
 void RouterImpl::handle(const CallerRequested& input) { admission_.admit(input.request); }
 
-void RouterImpl::handle(const CallerGone& input) {
+void RouterImpl::handle(const CallerDisconnected& input) {
   Request* request = core_.requests.find(input.request);
   if (request != nullptr) {
     claims_.removeRequest(*request);
@@ -79,9 +79,9 @@
 
 void RouterImpl::handle(const EngineExported& input) { mover_.handleExported(input); }
 
-void RouterImpl::handle(const EngineHeld& input) { parker_.handleHeld(input); }
+void RouterImpl::handle(const StateHoldAnswered& input) { parker_.handleHeld(input); }
 
-void RouterImpl::handle(const StateKept& input) { parker_.handleKept(input); }
+void RouterImpl::handle(const StateStored& input) { parker_.handleKept(input); }
 
 void RouterImpl::handle(const CacheEventsRead& input) {
   core_.selector.applyCacheEvents(input.engine, input.events);
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -27,11 +27,11 @@
 
  private:
   void handle(const CallerRequested& input);
-  void handle(const CallerGone& input);
+  void handle(const CallerDisconnected& input);
   void handle(const EngineEvent& input);
   void handle(const EngineExported& input);
-  void handle(const EngineHeld& input);
-  void handle(const StateKept& input);
+  void handle(const StateHoldAnswered& input);
+  void handle(const StateStored& input);
   void handle(const CacheEventsRead& input);
   void handle(const ControllerConnected& input);
   void handle(const ControllerDisconnected& input);
--- a/src/routing/state_parker.cpp
+++ b/src/routing/state_parker.cpp
@@ -99,11 +99,11 @@
   Move& move = *request.move;
   move.localCopy = LocalCopy::fetching;
   ++core_.storedStates;
-  core_.actions.emplace_back(KeepState{request.caller.request, move.source.id, move.kvSource});
+  core_.actions.emplace_back(StoreState{request.caller.request, move.source.id, move.kvSource});
   lifecycle_.setPhaseDeadline(request, core_.now + kHoldTimeout);
 }
 
-void StateParker::handleKept(const StateKept& event) {
+void StateParker::handleKept(const StateStored& event) {
   Request* request = core_.requests.find(event.request);
   const bool awaited = request != nullptr && request->machine.state() == RequestState::parking &&
                        request->move->source.id == event.attempt &&
@@ -135,7 +135,7 @@
   move.pendingHolder = holder;
   const base::RequestId& id = request.caller.request;
   if (move.localCopy == LocalCopy::kept) {
-    core_.actions.emplace_back(PutState{holder.engine, holder.endpoint, {id, move.source.id}});
+    core_.actions.emplace_back(UploadState{holder.engine, holder.endpoint, {id, move.source.id}});
   } else {
     core_.actions.emplace_back(
         HoldState{holder.engine, holder.endpoint, {id, move.source.id, move.kvSource}});
@@ -160,7 +160,7 @@
   }
 }
 
-void StateParker::handleHeld(const EngineHeld& event) {
+void StateParker::handleHeld(const StateHoldAnswered& event) {
   Request* request = core_.requests.find(event.request);
   const bool awaited = request != nullptr && request->machine.state() == RequestState::parking &&
                        request->move->source.id == event.attempt &&
--- a/src/routing/state_parker.h
+++ b/src/routing/state_parker.h
@@ -21,7 +21,7 @@
 /// state may be about to leave: shortly before, another engine that stays is asked to hold a copy,
 /// whatever models it has loaded. The request reports demand all the while and continues from the
 /// holder once a replica is ready. If no engine can hold the state, e.g. because all machines of
-/// the cell are reclaimed at once, this process stores it, within `maxKeptStates`, until it can
+/// the cell are reclaimed at once, this process stores it, within `maxStoredStates`, until it can
 /// upload it to an engine: the request ends with this process anyway. When the state is lost the
 /// request ends at once with a typed error. No state is sent to an engine that is leaving, or while
 /// the configuration is not confirmed.
@@ -38,10 +38,10 @@
   bool canBecomeReady(const std::string& target, const resource::Servable& servable) const;
   /// Handles the due moveAt of a request that waits with its state.
   void checkHolder(Request& request);
-  /// Handles an engine's answer to HoldState or PutState.
-  void handleHeld(const EngineHeld& event);
-  /// Handles the driver's answer to KeepState.
-  void handleKept(const StateKept& event);
+  /// Handles an engine's answer to HoldState or UploadState.
+  void handleHeld(const StateHoldAnswered& event);
+  /// Handles the driver's answer to StoreState.
+  void handleKept(const StateStored& event);
   /// Handles the time-out of state `parking`: no definite answer arrived, or the stored state waits
   /// for an engine.
   void handleParkingTimer(Request& request);
@@ -55,7 +55,7 @@
   /// Asks the engine to hold the state. Asking again is safe, because an engine that already holds
   /// the copy confirms it.
   void requestHold(Request& request, const StateHolder& holder);
-  bool canStoreLocally() const { return core_.storedStates < core_.options.maxKeptStates; }
+  bool canStoreLocally() const { return core_.storedStates < core_.options.maxStoredStates; }
   void storeLocally(Request& request);
   /// Uploads the stored state to an engine if one can hold it.
   void uploadState(Request& request);
--- a/src/simulator/router_node.cpp
+++ b/src/simulator/router_node.cpp
@@ -147,11 +147,11 @@
     exportAttempt(*moved);
   } else if (const auto* hold = std::get_if<routing::HoldState>(&action)) {
     holdState(*hold);
-  } else if (const auto* keep = std::get_if<routing::KeepState>(&action)) {
+  } else if (const auto* keep = std::get_if<routing::StoreState>(&action)) {
     keepState(*keep);
-  } else if (const auto* put = std::get_if<routing::PutState>(&action)) {
+  } else if (const auto* put = std::get_if<routing::UploadState>(&action)) {
     putState(*put);
-  } else if (const auto* drop = std::get_if<routing::DropState>(&action)) {
+  } else if (const auto* drop = std::get_if<routing::DiscardState>(&action)) {
     keptStates_.erase({drop->request, drop->attempt});
   } else if (const auto* open = std::get_if<routing::OpenController>(&action)) {
     transport_->open(open->endpoint);
@@ -200,14 +200,14 @@
   request.deadline = localNow() + call.deadlineAfter;
   exchange->setServerClosed([this, id = request.request] {
     if (requests_.erase(id) > 0) {
-      input(routing::CallerGone{id});
+      input(routing::CallerDisconnected{id});
     }
   });
   const bool abandoned = !exchange->open();
   requests_[request.request] = OpenRequest{std::move(exchange), std::move(handlers)};
   input(routing::CallerRequested{request});
   if (abandoned && requests_.erase(request.request) > 0) {
-    input(routing::CallerGone{request.request});
+    input(routing::CallerDisconnected{request.request});
   }
 }
 
--- a/src/simulator/router_node.h
+++ b/src/simulator/router_node.h
@@ -76,8 +76,8 @@
   void observeWorkSent(const EngineNode* engine, const base::RequestId& request);
   void exportAttempt(const routing::ExportAttempt& request);
   void holdState(const routing::HoldState& request);
-  void keepState(const routing::KeepState& request);
-  void putState(const routing::PutState& request);
+  void keepState(const routing::StoreState& request);
+  void putState(const routing::UploadState& request);
   /// @}
   void pollCacheEvents();
   void receive(protocol::ConnectionId connection, const protocol::Message& message);
--- a/src/simulator/router_state_calls.cpp
+++ b/src/simulator/router_state_calls.cpp
@@ -46,7 +46,7 @@
                                               const base::RequestId& request,
                                               base::AttemptId attempt) {
   return [this, engine, request, attempt](const engine::HoldResult& result) {
-    input(routing::EngineHeld{engine, request, attempt, result});
+    input(routing::StateHoldAnswered{engine, request, attempt, result});
   };
 }
 
@@ -70,14 +70,14 @@
   });
 }
 
-void RouterNode::keepState(const routing::KeepState& request) {
+void RouterNode::keepState(const routing::StoreState& request) {
   EngineNode* source = environment_.findEngine(request.source.endpoint);
   const auto answer = [this, request](const base::Result<void>& result) {
     if (result) {
       keptStates_.insert({request.request, request.attempt});
       ++environment_.counters.keptStates;
     }
-    input(routing::StateKept{request.request, request.attempt, result});
+    input(routing::StateStored{request.request, request.attempt, result});
   };
   const auto exchange = openExchange(source, kHoldTimeout, answer);
   exchange->begin(source, environment_.faults.engineCalls,
@@ -91,7 +91,7 @@
                   });
 }
 
-void RouterNode::putState(const routing::PutState& request) {
+void RouterNode::putState(const routing::UploadState& request) {
   EngineNode* target = environment_.findEngine(request.endpoint);
   const engine::PutRequest put = request.put;
   const HoldAnswer answer = holdAnswer(request.engine, put.request, put.attempt);
--- a/test/daemon/controller_settings_test.cpp
+++ b/test/daemon/controller_settings_test.cpp
@@ -86,7 +86,7 @@
                              "serve", "--max-queued", "9", "--zone", "north"})
                   .exitNow);
   LONGS_EQUAL(2, router.settings().logic.controllers.size());
-  CHECK(router.settings().logic.whenUnconfirmed == routing::UnconfirmedPolicy::serve);
+  CHECK(router.settings().logic.unconfirmedPolicy == routing::UnconfirmedPolicy::serve);
   LONGS_EQUAL(9, router.settings().logic.maxQueued);
   STRCMP_EQUAL("north", router.settings().logic.zone.value.c_str());
 }
--- a/test/routing/breaker_test.cpp
+++ b/test/routing/breaker_test.cpp
@@ -43,7 +43,7 @@
   const Case cases[] = {
       {"the deadline of its request", [](RouterHarness& harness) { harness.advance(2s); }},
       {"its caller disconnected",
-       [](RouterHarness& harness) { harness.deliver(CallerGone{{"trial"}}); }},
+       [](RouterHarness& harness) { harness.deliver(CallerDisconnected{{"trial"}}); }},
       {"the engine is overloaded",
        [](RouterHarness& harness) {
          harness.fail(harness.starts.back(), base::ErrorCode::engineOverloaded,
--- a/test/routing/load_estimate_test.cpp
+++ b/test/routing/load_estimate_test.cpp
@@ -20,7 +20,7 @@
   harness.request(id, time + 5s);
   harness.advance(time);
   harness.commitChange(kReplicaReady);
-  harness.deliver(CallerGone{{id}});
+  harness.deliver(CallerDisconnected{{id}});
   harness.commitChange(kReplicaRemoved);
 }
 
--- a/test/routing/router_harness.h
+++ b/test/routing/router_harness.h
@@ -98,9 +98,9 @@
   bool cellAnswers = true;                      ///< If false, the cell's answers are lost.
   std::vector<ExportAttempt> exports;           ///< In order.
   std::vector<HoldState> holds;                 ///< In order.
-  std::vector<KeepState> keeps;                 ///< In order.
-  std::vector<PutState> puts;                   ///< In order.
-  std::vector<DropState> drops;                 ///< In order.
+  std::vector<StoreState> keeps;                ///< In order.
+  std::vector<UploadState> puts;                ///< In order.
+  std::vector<DiscardState> drops;              ///< In order.
   std::vector<CancelAttempt> cancels;           ///< In order.
   std::vector<StartAttempt> starts;             ///< Attempts, in order.
   std::vector<CallerRefused> refusals;          ///< In order.
@@ -110,9 +110,9 @@
   void execute(const StartAttempt& action) { starts.push_back(action); }
   void execute(const ExportAttempt& action) { exports.push_back(action); }
   void execute(const HoldState& action) { holds.push_back(action); }
-  void execute(const KeepState& action) { keeps.push_back(action); }
-  void execute(const PutState& action) { puts.push_back(action); }
-  void execute(const DropState& action) { drops.push_back(action); }
+  void execute(const StoreState& action) { keeps.push_back(action); }
+  void execute(const UploadState& action) { puts.push_back(action); }
+  void execute(const DiscardState& action) { drops.push_back(action); }
   void execute(const CancelAttempt& action) { cancels.push_back(action); }
   void execute(const CallerRefused& action) { refusals.push_back(action); }
   void execute(const OpenController& action) {
--- a/test/routing/scenario_world.cpp
+++ b/test/routing/scenario_world.cpp
@@ -137,7 +137,7 @@
     at(delay(0, 2000), [this, id = caller.request] {
       if (oracle_.live(id) && frozenUntil_ <= now_) {
         oracle_.gone(id);
-        deliver(CallerGone{id});
+        deliver(CallerDisconnected{id});
       }
     });
   }
@@ -180,11 +180,11 @@
     execute(*exporting);
   } else if (const auto* hold = std::get_if<HoldState>(&action)) {
     execute(*hold);
-  } else if (const auto* keep = std::get_if<KeepState>(&action)) {
+  } else if (const auto* keep = std::get_if<StoreState>(&action)) {
     execute(*keep);
-  } else if (const auto* put = std::get_if<PutState>(&action)) {
+  } else if (const auto* put = std::get_if<UploadState>(&action)) {
     execute(*put);
-  } else if (const auto* drop = std::get_if<DropState>(&action)) {
+  } else if (const auto* drop = std::get_if<DiscardState>(&action)) {
     storedStates_.erase(drop->attempt.value);
   } else if (const auto* open = std::get_if<OpenController>(&action)) {
     execute(*open);
@@ -320,11 +320,11 @@
       exports_[handle] = found->second;
       exports_.erase(action.hold.source.handle);
     }
-    deliver(EngineHeld{action.engine, action.hold.request, action.hold.attempt, result});
+    deliver(StateHoldAnswered{action.engine, action.hold.request, action.hold.attempt, result});
   });
 }
 
-void ScenarioWorld::execute(const KeepState& action) {
+void ScenarioWorld::execute(const StoreState& action) {
   at(delay(5, 50), [this, action] {
     const auto found = exports_.find(action.source.handle);
     base::Result<void> result = base::success();
@@ -334,11 +334,11 @@
       storedStates_[action.attempt.value] = found->second;
       exports_.erase(found);
     }
-    deliver(StateKept{action.request, action.attempt, result});
+    deliver(StateStored{action.request, action.attempt, result});
   });
 }
 
-void ScenarioWorld::execute(const PutState& action) {
+void ScenarioWorld::execute(const UploadState& action) {
   at(delay(5, 50), [this, action] {
     const std::string handle = "held" + std::to_string(action.put.attempt.value);
     engine::HoldResult result = engine::HoldReply{handle};
@@ -347,7 +347,7 @@
     } else {
       exports_[handle] = storedStates_.at(action.put.attempt.value);
     }
-    deliver(EngineHeld{action.engine, action.put.request, action.put.attempt, result});
+    deliver(StateHoldAnswered{action.engine, action.put.request, action.put.attempt, result});
   });
 }
 
--- a/test/routing/scenario_world.h
+++ b/test/routing/scenario_world.h
@@ -62,8 +62,8 @@
   void execute(const CancelAttempt& action);
   void execute(const ExportAttempt& action);
   void execute(const HoldState& action);
-  void execute(const KeepState& action);
-  void execute(const PutState& action);
+  void execute(const StoreState& action);
+  void execute(const UploadState& action);
   void execute(const OpenController& action);
   void execute(const CloseController& action);
   void execute(const SendToController& action);
--- a/test/routing/state_parking_test.cpp
+++ b/test/routing/state_parking_test.cpp
@@ -51,7 +51,7 @@
 
   void answerHold(const engine::HoldResult& result) {
     const HoldState& asked = holds.back();
-    deliver(EngineHeld{asked.engine, asked.hold.request, asked.hold.attempt, result});
+    deliver(StateHoldAnswered{asked.engine, asked.hold.request, asked.hold.attempt, result});
   }
 
   void park() {
@@ -240,7 +240,7 @@
 
 TEST(StateParkingTest, sourceLostBeforeAnyEngineHoldsTheStateEndsTheRequest) {
   RouterOptions options;
-  options.maxKeptStates = 0;
+  options.maxStoredStates = 0;
   ParkingHarness harness(60s, options);
   harness.exportStream();
   for (int round = 0; round < 60 && harness.refusals.empty(); ++round) {
@@ -269,7 +269,7 @@
 TEST(StateParkingTest, callerDisconnectDuringParkingFreesBothCopies) {
   ParkingHarness harness;
   harness.exportStream();
-  harness.deliver(CallerGone{{"once"}});
+  harness.deliver(CallerDisconnected{{"once"}});
   CHECK_EQUAL(2U, harness.cancels.size());
   harness.answerHold(engine::HoldReply{"held"});  // No request waits for this answer.
   harness.advance(1s);
@@ -302,7 +302,7 @@
     exportStream();
     CHECK_EQUAL(0U, holds.size());
     CHECK_EQUAL(1U, keeps.size());
-    deliver(StateKept{{"once"}, keeps[0].attempt, base::success()});
+    deliver(StateStored{{"once"}, keeps[0].attempt, base::success()});
   }
 };
 
@@ -323,7 +323,7 @@
   CHECK_EQUAL(1U, harness.puts.size());
   CHECK_TRUE(harness.puts[0].engine == engineRecord(3).id);
   CHECK_EQUAL(0U, harness.drops.size());
-  harness.deliver(EngineHeld{
+  harness.deliver(StateHoldAnswered{
       harness.puts[0].engine, {"once"}, harness.puts[0].put.attempt, engine::HoldReply{"held"}});
   CHECK_EQUAL(1U, harness.drops.size());
   harness.commitChange(protocol::ReplicaChanged{replicaRecord(9, "model", 3)});
@@ -337,10 +337,10 @@
   harness.keep();
   harness.commitChange(protocol::EngineChanged{engineRecord(3)});
   harness.advance(300ms);
-  harness.deliver(EngineHeld{harness.puts[0].engine,
-                             {"once"},
-                             harness.puts[0].put.attempt,
-                             refusal(base::ErrorCode::engineOverloaded)});
+  harness.deliver(StateHoldAnswered{harness.puts[0].engine,
+                                    {"once"},
+                                    harness.puts[0].put.attempt,
+                                    refusal(base::ErrorCode::engineOverloaded)});
   CHECK_EQUAL(0U, harness.drops.size());
   harness.advance(300ms);
   CHECK_EQUAL(2U, harness.puts.size());
@@ -360,7 +360,7 @@
   harness.exportStream();
   for (int round = 0; round < 60 && harness.refusals.empty(); ++round) {
     const base::Error lost{base::ErrorCode::connectionLost, "", ""};
-    harness.deliver(StateKept{{"once"}, harness.keeps.back().attempt, lost});
+    harness.deliver(StateStored{{"once"}, harness.keeps.back().attempt, lost});
     harness.advance(100ms);
   }
   CHECK_EQUAL(1U, harness.refusals.size());
@@ -370,7 +370,7 @@
 
 TEST(StateKeepingTest, routerKeepsNoMoreStatesThanTheLimit) {
   RouterOptions options;
-  options.maxKeptStates = 0;
+  options.maxStoredStates = 0;
   KeepingHarness harness(options);
   harness.advance(3s);
   CHECK_EQUAL(0U, harness.exports.size());  // The stream may still end at its engine.
--- a/test/routing/stream_move_test.cpp
+++ b/test/routing/stream_move_test.cpp
@@ -42,7 +42,7 @@
   RouterHarness harness;
   harness.request("fast", 60s, 20);
   deliverTokens(harness, harness.starts[0], 0, 20, 20ms);
-  harness.deliver(CallerGone{{"fast"}});
+  harness.deliver(CallerDisconnected{{"fast"}});
   harness.request("observed", 60s, kLongAnswer);
   deliverTokens(harness, harness.starts[1], 0, 3, interval);
   resource::Engine reclaimed = engineRecord(0);
@@ -59,7 +59,7 @@
 
 TEST(StreamMoveTest, nonRepeatableStreamMovesShortlyBeforeTheReclaim) {
   RouterOptions options;
-  options.maxKeptStates = 0;
+  options.maxStoredStates = 0;
   RouterHarness harness(options);
   harness.requestNonRepeatable("once", 60s, kLongAnswer);
   CHECK_EQUAL(1U, harness.starts.size());
--- a/test/routing/unconfirmed_test.cpp
+++ b/test/routing/unconfirmed_test.cpp
@@ -42,7 +42,7 @@
 
 TEST(UnconfirmedTest, servePolicyDispatchesWhileUnconfirmed) {
   RouterOptions options;
-  options.whenUnconfirmed = UnconfirmedPolicy::serve;
+  options.unconfirmedPolicy = UnconfirmedPolicy::serve;
   RouterHarness harness(options, false);
   harness.request("waiting", 60s);
   harness.cellAnswers = false;
