--- a/include/walnut/registry/limit_messages.h
+++ b/include/walnut/registry/limit_messages.h
@@ -20,7 +20,7 @@
 inline constexpr double kMinRequestsPerSecond = 0.25;
 
 /// The limit stated by one answer of a worker.
-struct LimitSighting {
+struct LimitObservation {
   WorkerId worker;
   std::optional<double> perSecond;  ///< The limit; absent if the answer stated none.
   /// @name Times before the sending of the report, by the gateway's clock
@@ -36,7 +36,7 @@
 /// Gateway to leader: the limits that are new to the gateway, or all that it knows if the leader is
 /// new to it.
 struct LimitReport {
-  std::vector<LimitSighting> sightings;
+  std::vector<LimitObservation> sightings;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(sightings);
--- a/include/walnut/registry/messages.h
+++ b/include/walnut/registry/messages.h
@@ -196,7 +196,7 @@
   }
 };
 /// Gateway to leader: acknowledges a part, so that the leader sends more.
-struct DocumentPartTaken {
+struct DocumentPartAck {
   DocumentCursor cursor;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -323,7 +323,7 @@
 };
 
 /// A request that a worker had, and had not answered even in part, when its connection ended.
-struct RequestCut {
+struct CutRequest {
   RequestDigest request;
   WorkerId worker;
   bool begun = false;     ///< True if the head of its answer had arrived: it was no longer queued.
@@ -336,7 +336,7 @@
 /// Gateway to leader: requests that may have crashed their workers. Sent only if there are any;
 /// each is sent once, and once more to each new leader.
 struct CutReport {
-  std::vector<RequestCut> cuts;
+  std::vector<CutRequest> cuts;
   std::vector<RequestDigest> answered;  ///< Suspects that were answered, so they crash no worker.
   template <class Archive>
   void serialize(Archive& archive) {
@@ -403,7 +403,7 @@
   }
 };
 /// Leader to gateway: all late models. Sent before the first view on a connection, when the list
-/// changes, and repeatedly while it is not empty, as it expires after `kLateModelsLast`.
+/// changes, and repeatedly while it is not empty, as it expires after `kLateModelsLifetime`.
 struct LateModels {
   std::vector<LateModel> models;
   template <class Archive>
@@ -411,11 +411,11 @@
     archive(models);
   }
 };
-inline constexpr base::Duration kLateModelsLast = std::chrono::seconds(3);
+inline constexpr base::Duration kLateModelsLifetime = std::chrono::seconds(3);
 
 using MessageBody =
     std::variant<ForwardedCall, ForwardedAnswer, JoinRequest, JoinReply, Subscribe, NotLeading,
-                 ViewUpdate, DemandUpdate, DocumentPart, DocumentPartTaken, PackedView, CutReport,
+                 ViewUpdate, DemandUpdate, DocumentPart, DocumentPartAck, PackedView, CutReport,
                  SuspectList, ConfirmDocument, DocumentConfirmed, QuotaRequest, QuotaGrant,
                  LateModels, HeartbeatBatch, HeartbeatRequest, LimitReport, ShareRequest,
                  ShareGrant>;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -104,7 +104,7 @@
 void Gateway::lateModelsReceived(const registry::LateModels& late) {
   const base::TimePoint now = scheduler_.now();
   lateModels_.clear();
-  lateModelsExpireAt_ = now + registry::kLateModelsLast;
+  lateModelsExpireAt_ = now + registry::kLateModelsLifetime;
   for (const registry::LateModel& model : late.models) {
     lateModels_[{model.service, model.model}] = now + model.availableIn;
   }
--- a/src/gateway/registry_follower.cpp
+++ b/src/gateway/registry_follower.cpp
@@ -116,7 +116,7 @@
   const bool taken =
       document.value() != nullptr && gateway_.documentReceived(std::move(document.value()));
   session_.setSubscription({gateway_.documentVersion(), receiver_.cursor()});
-  session_.send(registry::DocumentPartTaken{receiver_.cursor()});
+  session_.send(registry::DocumentPartAck{receiver_.cursor()});
   return taken;
 }
 
--- a/src/registry/crash_monitor.cpp
+++ b/src/registry/crash_monitor.cpp
@@ -77,7 +77,7 @@
 }  // namespace
 
 void CrashMonitor::report(const CutReport& report, base::TimePoint now) {
-  for (const RequestCut& cut : report.cuts) {
+  for (const CutRequest& cut : report.cuts) {
     const bool full = pending_.size() >= kMaxPendingCrashes && pending_.count(cut.worker) == 0;
     if (full || state_.requestCrashes().has(cut.request, cut.worker)) {
       continue;
--- a/src/registry/late_model_announcer.cpp
+++ b/src/registry/late_model_announcer.cpp
@@ -17,7 +17,7 @@
   for (const LateModel& model : late.models) {
     expected[{model.service, model.model}] = now + model.availableIn;
   }
-  const bool isRepeatDue = !expected.empty() && now >= announcedAt_ + kLateModelsLast / 2;
+  const bool isRepeatDue = !expected.empty() && now >= announcedAt_ + kLateModelsLifetime / 2;
   if (now < announcedAt_ + kMinInterval || !(isRepeatDue || differs(expected))) {
     return false;
   }
--- a/src/registry/late_model_announcer.h
+++ b/src/registry/late_model_announcer.h
@@ -13,7 +13,7 @@
 
 /// Decides when the leader sends the list of late models to all gateways: when it changes by enough
 /// for callers to notice, and periodically while it isn't empty, since gateways drop it after
-/// `kLateModelsLast`.
+/// `kLateModelsLifetime`.
 class LateModelAnnouncer {
  public:
   /// Least change of an expected time that is announced.
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -56,7 +56,7 @@
   void subscribe(protocol::ConnectionId gateway, const Subscribe& request,
                  const base::ZoneId& zone = {}, std::uint32_t featureLevel = 0);
   void unsubscribe(protocol::ConnectionId gateway);
-  void documentPartTaken(protocol::ConnectionId gateway, const DocumentPartTaken& taken) {
+  void documentPartAcknowledged(protocol::ConnectionId gateway, const DocumentPartAck& taken) {
     sender_.partTaken(gateway, taken.cursor);
   }
   void demand(protocol::ConnectionId gateway, const DemandUpdate& update, base::TimePoint now);
@@ -68,8 +68,8 @@
   void limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
                       base::TimePoint now);
   /// To be called only while this server holds a valid leader lease, as with quotas.
-  void sharesAsked(protocol::ConnectionId gateway, const ShareRequest& request,
-                   base::TimePoint now);
+  void sharesRequested(protocol::ConnectionId gateway, const ShareRequest& request,
+                       base::TimePoint now);
   void orderFinished(const OrderFinished& finished, base::TimePoint now);
   void reportFinished(const ReportFinished& finished, base::TimePoint now);
   /// Sends the orders of a batch, which is committed to the log now, unless that took too long.
@@ -170,7 +170,7 @@
   void logDecisions(PlacementPolicy& policy, const StoreScheduler& store, base::TimePoint now);
   void countForeignLoads(const catalog::Service& service, StoreScheduler& store);
   StoreScheduler& storeOf(const std::string& service);
-  FormerLoads formerLoads() const;
+  PreviousLoads previousLoads() const;
   void forgetLoad(const WorkerRecord& record);
   void noteEnded(const WorkerId& id, const WorkerStatus& status, base::TimePoint now);
   void logEndedOrder(const WorkerId& id, WorkerStatus& status, base::TimePoint now);
--- a/src/registry/leader_limits.cpp
+++ b/src/registry/leader_limits.cpp
@@ -21,7 +21,7 @@
 void LeaderDuties::limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
                                   base::TimePoint now) {
   LimitReport known;
-  for (const LimitSighting& sighting : report.sightings) {
+  for (const LimitObservation& sighting : report.sightings) {
     if (state_.findWorker(sighting.worker) != nullptr) {
       known.sightings.push_back(sighting);
     }
@@ -38,8 +38,8 @@
   }
 }
 
-void LeaderDuties::sharesAsked(protocol::ConnectionId gateway, const ShareRequest& request,
-                               base::TimePoint now) {
+void LeaderDuties::sharesRequested(protocol::ConnectionId gateway, const ShareRequest& request,
+                                   base::TimePoint now) {
   actions_.emplace_back(control::SendToConnection{
       gateway, RegistryMessage{MessageBody(limits_.grant(gateway, request, now))}});
   logShareChanges();
--- a/src/registry/leader_order_lease.cpp
+++ b/src/registry/leader_order_lease.cpp
@@ -62,8 +62,8 @@
 
 /// A previous leader sends orders only under its lease, which has ended by `since_`; its last
 /// orders may still be in flight for `kTurnMargin`.
-FormerLoads LeaderDuties::formerLoads() const {
-  return isFirstHolder_ ? FormerLoads{std::nullopt} : FormerLoads{since_ + kTurnMargin};
+PreviousLoads LeaderDuties::previousLoads() const {
+  return isFirstHolder_ ? PreviousLoads{std::nullopt} : PreviousLoads{since_ + kTurnMargin};
 }
 
 /// Without fencing, orders are committed to the log before they are sent, so that the next leader
--- a/src/registry/leader_plans.cpp
+++ b/src/registry/leader_plans.cpp
@@ -175,7 +175,7 @@
 }
 
 StoreScheduler& LeaderDuties::storeOf(const std::string& service) {
-  return stores_.try_emplace(service, formerLoads()).first->second;
+  return stores_.try_emplace(service, previousLoads()).first->second;
 }
 
 /// Logs one line for each change of the decision on a model, with the figures behind it.
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -224,9 +224,9 @@
       from, wrap(NotLeading{serverEndpoints(), peerEndpointOf(raft_->status().leader)})});
 }
 
-void RegistryImpl::receiveBody(protocol::ConnectionId from, const DocumentPartTaken& message) {
+void RegistryImpl::receiveBody(protocol::ConnectionId from, const DocumentPartAck& message) {
   if (isActiveLeader()) {
-    leading_->documentPartTaken(from, message);
+    leading_->documentPartAcknowledged(from, message);
   }
 }
 
@@ -250,7 +250,7 @@
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const ShareRequest& message) {
   if (isActiveLeader() && raft_->leaseValid(now_)) {
-    leading_->sharesAsked(from, message, now_);
+    leading_->sharesRequested(from, message, now_);
   }
 }
 
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -65,7 +65,7 @@
   void receiveBody(protocol::ConnectionId from, const Subscribe& message);
   void receiveBody(protocol::ConnectionId from, const DemandUpdate& message);
   void receiveBody(protocol::ConnectionId from, const CutReport& message);
-  void receiveBody(protocol::ConnectionId from, const DocumentPartTaken& message);
+  void receiveBody(protocol::ConnectionId from, const DocumentPartAck& message);
   void receiveBody(protocol::ConnectionId from, const ConfirmDocument& message);
   void receiveBody(protocol::ConnectionId from, const QuotaRequest& message);
   void receiveBody(protocol::ConnectionId from, const LimitReport& message);
--- a/src/registry/store_rate.h
+++ b/src/registry/store_rate.h
@@ -17,7 +17,7 @@
 };
 
 /// What a new leader knows of the loads that previous leaders ordered.
-struct FormerLoads {
+struct PreviousLoads {
   /// No such load starts after this time. `kNever` means unknown; no value means that previous
   /// leaders ordered none.
   std::optional<base::TimePoint> endedAt = base::kNever;
@@ -29,7 +29,7 @@
 class StoreRate {
  public:
   StoreRate() = default;
-  explicit StoreRate(const FormerLoads& previousLoads) : previousLoads_(previousLoads) {}
+  explicit StoreRate(const PreviousLoads& previousLoads) : previousLoads_(previousLoads) {}
 
   /// @return the most loads that may start within that time of the first one, if none preceded it.
   static double mostBegun(double perSecond, const StoreWindow& window, base::Duration duration);
@@ -46,7 +46,7 @@
   void initialize(base::TimePoint now);
   void refill(base::TimePoint now);
 
-  FormerLoads previousLoads_;
+  PreviousLoads previousLoads_;
   double perSecond_ = 0;
   double burst_ = 1;
   double tokens_ = 0;
--- a/src/registry/store_scheduler.h
+++ b/src/registry/store_scheduler.h
@@ -16,7 +16,7 @@
 class StoreScheduler {
  public:
   StoreScheduler() = default;
-  explicit StoreScheduler(const FormerLoads& previousLoads) : rate_(previousLoads) {}
+  explicit StoreScheduler(const PreviousLoads& previousLoads) : rate_(previousLoads) {}
 
   /// Sets the times that decide whether the concurrency limit starts cautiously.
   /// @param longestLoad longest store load time that a model declares.
--- a/src/registry/view_publisher.h
+++ b/src/registry/view_publisher.h
@@ -21,7 +21,7 @@
 /// Publisher of incremental view updates to gateways; used by the leader. A connection delivers in
 /// order or ends, so updates need no acknowledgement.
 ///
-/// While workers x gateways is small, each gateway is sent every worker. From `kMostPairs` on, and
+/// While workers x gateways is small, each gateway is sent every worker. From `kMaxPairs` on, and
 /// until the end of the leadership, it is sent only the workers that it follows (ViewInterest),
 /// which include those sent to it before.
 class ViewPublisher {
@@ -36,7 +36,7 @@
   /// @}
   /// Number of gateway and worker pairs above which gateways follow only some workers: sending all
   /// these pairs takes some 10 MB at the leader and a second of a small core.
-  static constexpr std::size_t kMostPairs = 100'000;
+  static constexpr std::size_t kMaxPairs = 100'000;
 
   /// @param featureLevel feature level that the gateway supports.
   void subscribe(protocol::ConnectionId gateway, const base::ZoneId& zone = {},
--- a/src/registry/view_publisher_interest.cpp
+++ b/src/registry/view_publisher_interest.cpp
@@ -19,7 +19,7 @@
 /// Switches to partial views once the fleet is large. Gateways were sent all workers so far, and go
 /// on following them.
 void ViewPublisher::switchToPartialViews() {
-  if (interest_ || gateways_.size() * workers_.size() <= kMostPairs) {
+  if (interest_ || gateways_.size() * workers_.size() <= kMaxPairs) {
     return;
   }
   interest_.emplace();
--- a/src/registry/worker_limit_book.cpp
+++ b/src/registry/worker_limit_book.cpp
@@ -45,7 +45,7 @@
 std::vector<WorkerLimitBook::Change> WorkerLimitBook::report(const LimitReport& report,
                                                              base::TimePoint now) {
   std::vector<Change> changes;
-  for (const LimitSighting& sighting : report.sightings) {
+  for (const LimitObservation& sighting : report.sightings) {
     auto change = sighting.perSecond ? applyNamedLimit(sighting.worker, sighting, now)
                                      : applyMissingLimit(sighting.worker, sighting, now);
     if (change) {
@@ -56,7 +56,7 @@
 }
 
 std::optional<WorkerLimitBook::Change> WorkerLimitBook::applyNamedLimit(
-    const WorkerId& worker, const LimitSighting& sighting, base::TimePoint now) {
+    const WorkerId& worker, const LimitObservation& sighting, base::TimePoint now) {
   const base::TimePoint answeredAt = now - sighting.answeredAgo;
   const auto ended = endedAt_.find(worker);
   if (ended != endedAt_.end() && answeredAt < ended->second) {
@@ -76,7 +76,7 @@
 }
 
 std::optional<WorkerLimitBook::Change> WorkerLimitBook::applyMissingLimit(
-    const WorkerId& worker, const LimitSighting& sighting, base::TimePoint now) {
+    const WorkerId& worker, const LimitObservation& sighting, base::TimePoint now) {
   const auto found = limits_.find(worker);
   if (found == limits_.end() || !found->second.named.endsBy(now - sighting.sentAgo)) {
     return std::nullopt;
--- a/src/registry/worker_limit_book.h
+++ b/src/registry/worker_limit_book.h
@@ -57,9 +57,9 @@
     base::TimePoint overLimitUntil;  ///< The worker counts as over its limit until then.
   };
 
-  std::optional<Change> applyNamedLimit(const WorkerId& worker, const LimitSighting& sighting,
+  std::optional<Change> applyNamedLimit(const WorkerId& worker, const LimitObservation& sighting,
                                         base::TimePoint now);
-  std::optional<Change> applyMissingLimit(const WorkerId& worker, const LimitSighting& sighting,
+  std::optional<Change> applyMissingLimit(const WorkerId& worker, const LimitObservation& sighting,
                                           base::TimePoint now);
 
   std::map<WorkerId, Limit> limits_;
--- a/src/simulator/serving_crashes.cpp
+++ b/src/simulator/serving_crashes.cpp
@@ -189,7 +189,7 @@
 }
 
 void ServingFleet::noteReports(const registry::CutReport& report) {
-  for (const registry::RequestCut& cut : report.cuts) {
+  for (const registry::CutRequest& cut : report.cuts) {
     reportedAt_.try_emplace({bodiesByDigest_[cut.request.text()], cut.worker}, scheduler_.now());
   }
 }
--- a/src/simulator/serving_fleet.cpp
+++ b/src/simulator/serving_fleet.cpp
@@ -308,8 +308,8 @@
     const protocol::ConnectionId connection{gateway + 1};
     if (const auto* request = std::get_if<registry::Subscribe>(&message)) {
       leader_->subscribe(connection, *request, {}, leaderLevel());
-    } else if (const auto* taken = std::get_if<registry::DocumentPartTaken>(&message)) {
-      leader_->documentPartTaken(connection, *taken);
+    } else if (const auto* taken = std::get_if<registry::DocumentPartAck>(&message)) {
+      leader_->documentPartAcknowledged(connection, *taken);
     } else if (const auto* demand = std::get_if<registry::DemandUpdate>(&message)) {
       leader_->demand(connection, *demand, scheduler_.now());
     } else if (const auto* cuts = std::get_if<registry::CutReport>(&message)) {
@@ -319,7 +319,7 @@
       leader_->limitsReported(connection, *limits, scheduler_.now());
     } else if (const auto* shares = std::get_if<registry::ShareRequest>(&message)) {
       ++shareQuestions_;
-      leader_->sharesAsked(connection, *shares, scheduler_.now());
+      leader_->sharesRequested(connection, *shares, scheduler_.now());
     }
   });
 }
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -194,7 +194,7 @@
   std::vector<registry::CutReport> cuts;
   std::vector<registry::ConfirmDocument> confirmRequests;
   std::vector<registry::QuotaRequest> quotas;
-  std::vector<registry::LimitSighting> limits;
+  std::vector<registry::LimitObservation> limits;
   std::vector<registry::QuotaRequest> shares;
 
   void open(const base::Endpoint& server) override { opened.push_back(server); }
--- a/test/gateway/late_model_test.cpp
+++ b/test/gateway/late_model_test.cpp
@@ -53,14 +53,14 @@
 
 TEST(LateModelTest, theAnnouncementExpires) {
   announceLateModel(18s);
-  harness.advanceFollowing(registry::kLateModelsLast);
+  harness.advanceFollowing(registry::kLateModelsLifetime);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
 
 TEST(LateModelTest, theAnnouncementExpiresDuringASuspension) {
   announceLateModel(18s);
-  harness.scheduler.suspendFor(registry::kLateModelsLast);
+  harness.scheduler.suspendFor(registry::kLateModelsLifetime);
   const auto caller = harness.request("bound", "r1", "m");
   CHECK_EQUAL(0, caller->status);
 }
--- a/test/gateway/registry_follower_test.cpp
+++ b/test/gateway/registry_follower_test.cpp
@@ -93,7 +93,7 @@
   receive(connection, whole(4));
   CHECK_EQUAL(4, gateway.documentVersion());
   CHECK_TRUE(gateway.ready());
-  CHECK_EQUAL(4, sent<registry::DocumentPartTaken>().at(0).cursor.version);
+  CHECK_EQUAL(4, sent<registry::DocumentPartAck>().at(0).cursor.version);
 }
 
 /// This is the state of a restarted gateway before it has found a leader.
--- a/test/registry/cold_worker_test.cpp
+++ b/test/registry/cold_worker_test.cpp
@@ -1,7 +1,7 @@
 /// Guards against overloading a worker that has just started. It can take few requests, but looks
 /// idle to every gateway; if it were announced to all of them at once, all would send to it.
 
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_GROUP_BASE(ColdWorkerTest, LeaderDutiesKit) {
+TEST_GROUP_BASE(ColdWorkerTest, LeaderDutiesFixture) {
   ColdReader coldReader;
   DocumentCache coldDocuments{coldReader};
   std::map<protocol::ConnectionId, ViewDecoder> decoders;
--- a/test/registry/demand_names_test.cpp
+++ b/test/registry/demand_names_test.cpp
@@ -2,7 +2,7 @@
 /// the leader stores which gateway requested what, and callers may send new invented names each
 /// time.
 
-#include "leader_duties_kit.h"
+#include "leader_duties_fixture.h"
 
 using namespace walnut;
 using namespace walnut::registry;
@@ -12,11 +12,11 @@
 
 constexpr std::uint64_t kGateways = 400;
 constexpr std::uint16_t kWorkers = 260;
-static_assert(kGateways * kWorkers > ViewPublisher::kMostPairs);
+static_assert(kGateways * kWorkers > ViewPublisher::kMaxPairs);
 
 }  // namespace
 
-TEST_GROUP_BASE(DemandNamesTest, LeaderDutiesKit) {
+TEST_GROUP_BASE(DemandNamesTest, LeaderDutiesFixture) {
   ViewDecoder gatewayDecoder;
   std::set<WorkerId> told;
 
--- a/test/registry/late_model_announcer_test.cpp
+++ b/test/registry/late_model_announcer_test.cpp
@@ -40,8 +40,8 @@
 
 TEST(LateModelAnnouncerTest, itIsAnnouncedAgainBeforeGatewaysDropIt) {
   CHECK_TRUE(announcer.due(late(18s), now));
-  now += kLateModelsLast / 2;
-  CHECK_TRUE(announcer.due(late(18s - kLateModelsLast / 2), now));
+  now += kLateModelsLifetime / 2;
+  CHECK_TRUE(announcer.due(late(18s - kLateModelsLifetime / 2), now));
 }
 
 TEST(LateModelAnnouncerTest, theEndIsAnnouncedOnce) {
--- a/test/registry/leader_duties_kit.h
+++ b/test/registry/leader_duties_fixture.h
@@ -60,7 +60,7 @@
 };
 
 /// Base class of test groups: runs a leader in virtual time.
-class LeaderDutiesKit : public Utest {
+class LeaderDutiesFixture : public Utest {
  public:
   EngineReader reader;
   DocumentCache documents{reader};
--- a/test/registry/leader_duties_test.cpp
+++ b/test/registry/leader_duties_test.cpp
@@ -1,12 +1,12 @@
 /// Tests of LeaderDuties: order lease, reports, failing workers, views and heartbeats.
 
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 
 using namespace walnut;
 using namespace walnut::registry;
 using namespace walnut::registry::testing;
 
-TEST_GROUP_BASE(LeaderDutiesTest, LeaderDutiesKit){};
+TEST_GROUP_BASE(LeaderDutiesTest, LeaderDutiesFixture){};
 
 TEST(LeaderDutiesTest, withFencingATakeoverWaitsUntilReportsCoverPreviousOrders) {
   lead();
--- a/test/registry/leader_faults_test.cpp
+++ b/test/registry/leader_faults_test.cpp
@@ -1,13 +1,13 @@
 /// Tests of a leader that was suspended, and of models whose loads crash their workers.
 
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 
 using namespace walnut;
 using namespace walnut::registry;
 using namespace walnut::registry::testing;
 
 TEST_GROUP_BASE(SuspendedLeaderTest,
-                LeaderDutiesKit){void setup() override{LeaderDutiesKit::setup();
+                LeaderDutiesFixture){void setup() override{LeaderDutiesFixture::setup();
 lead();
 hold("w1", "a");
 hold("w2", "b");
@@ -62,7 +62,7 @@
   CHECK_EQUAL(0, count<control::SendToConnection>());
 }
 
-TEST_GROUP_BASE(EndingLoadTest, LeaderDutiesKit){};
+TEST_GROUP_BASE(EndingLoadTest, LeaderDutiesFixture){};
 
 /// The model crashes each worker that loads it, and is requested all the time.
 TEST(EndingLoadTest, loadsOfAModelThatCrashesItsWorkersBackOff) {
--- a/test/registry/placement_test.cpp
+++ b/test/registry/placement_test.cpp
@@ -2,7 +2,7 @@
 
 #include "registry/placement.h"
 
-#include "registry/placement_kit.h"
+#include "registry/placement_fixture.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
--- a/test/registry/slow_store_test.cpp
+++ b/test/registry/slow_store_test.cpp
@@ -9,7 +9,7 @@
 /// had on its disk.
 
 #include "registry/placement.h"
-#include "registry/placement_kit.h"
+#include "registry/placement_fixture.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
--- a/test/registry/store_rate_test.cpp
+++ b/test/registry/store_rate_test.cpp
@@ -98,7 +98,7 @@
 TEST(StoreRateTest, aNewLeaderBeginsWithoutTheBurst) { CHECK_EQUAL(1, run(20ms)); }
 
 TEST(StoreRateTest, aLeaderThatHasNoPredecessorBeginsWithTheBurst) {
-  store.emplace(FormerLoads{std::nullopt});
+  store.emplace(PreviousLoads{std::nullopt});
   std::size_t most = 0;
   CHECK_EQUAL(3, run(20ms, &most));
   run(30s, &most);
@@ -106,12 +106,12 @@
 }
 
 TEST(StoreRateTest, theTimeSinceTheLastLoadOfAPredecessorIsCounted) {
-  store.emplace(FormerLoads{now - 400ms});
+  store.emplace(PreviousLoads{now - 400ms});
   CHECK_EQUAL(2, run(20ms));
 }
 
 TEST(StoreRateTest, aPredecessorWhoseOrdersMayStillArriveLeavesOneToken) {
-  store.emplace(FormerLoads{now + 300ms});
+  store.emplace(PreviousLoads{now + 300ms});
   CHECK_EQUAL(1, run(20ms));
 }
 
@@ -120,7 +120,7 @@
   base::Random random(1);
   std::deque<base::TimePoint> begun;
   std::size_t most = 0;
-  FormerLoads former{std::nullopt};
+  PreviousLoads former{std::nullopt};
   for (int leader = 0; leader < 200; ++leader) {
     store.emplace(former);
     run(random.between(base::Duration(5s), base::Duration(20s)), &most, &begun);
@@ -135,7 +135,7 @@
   std::deque<base::TimePoint> begun;
   std::size_t most = 0;
   for (int leader = 0; leader < 2; ++leader) {
-    store.emplace(FormerLoads{std::nullopt});
+    store.emplace(PreviousLoads{std::nullopt});
     run(4s, &most, &begun);
   }
   CHECK_TRUE(most > kMostInWindow);
--- a/test/registry/view_interest_test.cpp
+++ b/test/registry/view_interest_test.cpp
@@ -314,7 +314,7 @@
   growing.subscribe({1}, {"a"});
   growing.setWorker(worker("first", "a", {{"m", 1, {}}}));
   (void)growing.takeUpdates(start, 1, 1, loads, {});
-  for (std::size_t index = 0; index <= ViewPublisher::kMostPairs; ++index) {
+  for (std::size_t index = 0; index <= ViewPublisher::kMaxPairs; ++index) {
     growing.setWorker(worker(name("w", index), "a", {}));
   }
   CHECK_FALSE(growing.sendsAllWorkers());
--- a/test/registry/worker_incarnations_test.cpp
+++ b/test/registry/worker_incarnations_test.cpp
@@ -1,14 +1,14 @@
 /// Tests of a worker that restarts under the same name: no state of the previous incarnation
 /// applies to the present one, and late messages of the previous one change nothing.
 
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 #include "walnut/registry/view_codec.h"
 
 using namespace walnut;
 using namespace walnut::registry;
 using namespace walnut::registry::testing;
 
-TEST_GROUP_BASE(WorkerLivesTest, LeaderDutiesKit) {
+TEST_GROUP_BASE(WorkerLivesTest, LeaderDutiesFixture) {
   static constexpr std::uint64_t kFirstStart = 1000;
   static constexpr std::uint64_t kSecondStart = 2000;
 
--- a/test/registry/zone_evacuation_test.cpp
+++ b/test/registry/zone_evacuation_test.cpp
@@ -2,7 +2,7 @@
 /// placement.
 
 #include "registry/cluster.h"
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
@@ -153,7 +153,7 @@
   CHECK_EQUAL(4, cluster.voterCount(*cluster.leader()));
 }
 
-TEST_GROUP_BASE(ZoneEvacuationDutiesTest, LeaderDutiesKit){void evacuate(bool evacuated){
+TEST_GROUP_BASE(ZoneEvacuationDutiesTest, LeaderDutiesFixture){void evacuate(bool evacuated){
     state.apply(StoreZoneEvacuation{{"zone-a"}, evacuated, state.zoneRevision({"zone-a"})});
 duties->stateChanged(now);
 }
