--- a/src/daemon/gateway_host.cpp
+++ b/src/daemon/gateway_host.cpp
@@ -121,7 +121,7 @@
 }
 
 void GatewayHost::afterView() {
-  for (const registry::WorkerId& gone : gateway_.takeGoneWorkers()) {
+  for (const registry::WorkerId& gone : gateway_.takeRemovedWorkers()) {
     launcher_.forget(gone);
   }
   const auto document = gateway_.document();
@@ -160,7 +160,7 @@
   const bool settled = now >= stopBeganAt_ + kAcceptAfterStop && gateway_.exchangeCount() == 0 &&
                        front_->connectionCount() == 0;
   if (!settled && now >= stopDeadline_ && now < stopDeadline_ + kFinalAnswers) {
-    gateway_.giveUpAll();
+    gateway_.cancelAll();
     stopTimer_->enableAt(stopDeadline_ + kFinalAnswers);
     return;
   }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -220,7 +220,7 @@
   }
 }
 
-void Gateway::giveUpAll() { forEachExchange(&Exchange::cancel); }
+void Gateway::cancelAll() { forEachExchange(&Exchange::cancel); }
 
 void Gateway::wakeWaiting() { forEachExchange(&Exchange::viewChanged); }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -66,7 +66,7 @@
   void sharesGranted(const registry::ShareGrant& grant);
   /// @return the version of the document by whose keys a request would be admitted now; 0: keys are
   /// not confirmed.
-  std::uint64_t keysInForce() const;
+  std::uint64_t admittingDocumentVersion() const;
 
   /// @return true if the leader has announced a newer document than the one in force.
   bool isBehind() const { return newestVersion_ > documentVersion(); }
@@ -80,10 +80,10 @@
   /// shut down.
   void refuseAll();
   /// Cancels all requests that still run.
-  void giveUpAll();
+  void cancelAll();
   std::size_t exchangeCount() const { return exchanges_.size(); }
   /// @return workers that were removed since the last call.
-  std::vector<registry::WorkerId> takeGoneWorkers() { return directory_.takeRemoved(); }
+  std::vector<registry::WorkerId> takeRemovedWorkers() { return directory_.takeRemoved(); }
 
   // net::RequestHandler
   void onRequest(net::HttpRequest request, net::ResponseSink& sink) override;
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -109,7 +109,7 @@
               {"lease-millis", millisOf(lease_.duration())}});
 }
 
-std::uint64_t Gateway::keysInForce() const {
+std::uint64_t Gateway::admittingDocumentVersion() const {
   return document_ != nullptr && lease_.valid(scheduler_.readClock()) ? documentVersion() : 0;
 }
 
@@ -180,7 +180,7 @@
   if (!session_.following()) {
     return;
   }
-  if (auto request = quota_.ask(all, scheduler_.now())) {
+  if (auto request = quota_.makeRequest(all, scheduler_.now())) {
     for (auto& [tenant, waiting] : pendingRequests_) {
       for (PendingRequest& pending : waiting) {
         pending.quotaSequence =
@@ -192,7 +192,7 @@
 }
 
 void Gateway::quotaGranted(const registry::QuotaGrant& grant) {
-  if (!quota_.granted(grant, scheduler_.now())) {
+  if (!quota_.grantReceived(grant, scheduler_.now())) {
     return;
   }
   for (const registry::QuotaShare& share : grant.shares) {
--- a/src/gateway/quota_account.cpp
+++ b/src/gateway/quota_account.cpp
@@ -118,7 +118,7 @@
   return claim;
 }
 
-std::optional<registry::QuotaRequest> QuotaAccount::ask(bool all, base::TimePoint now) {
+std::optional<registry::QuotaRequest> QuotaAccount::makeRequest(bool all, base::TimePoint now) {
   if (openRequest_ && now < openRequest_->requestedAt + kAnswerTimeout) {
     return std::nullopt;
   }
@@ -145,7 +145,7 @@
   return request;
 }
 
-bool QuotaAccount::granted(const registry::QuotaGrant& grant, base::TimePoint now) {
+bool QuotaAccount::grantReceived(const registry::QuotaGrant& grant, base::TimePoint now) {
   if (!openRequest_ || grant.sequence != openRequest_->sequence) {
     return false;
   }
--- a/src/gateway/quota_account.h
+++ b/src/gateway/quota_account.h
@@ -54,9 +54,9 @@
 
   /// @param all true: also for owners for which no request waits.
   /// @return the next request to the leader; nothing while one is open or if nothing is needed.
-  std::optional<registry::QuotaRequest> ask(bool all, base::TimePoint now);
+  std::optional<registry::QuotaRequest> makeRequest(bool all, base::TimePoint now);
   /// @return true if the grant answers the open request.
-  bool granted(const registry::QuotaGrant& grant, base::TimePoint now);
+  bool grantReceived(const registry::QuotaGrant& grant, base::TimePoint now);
   /// Drops the open request, which will not be answered any more, so that the next leader gets one.
   void leaderLost() { openRequest_.reset(); }
   /// @return true if no owner has had a request recently.
--- a/src/gateway/worker_limits.cpp
+++ b/src/gateway/worker_limits.cpp
@@ -214,12 +214,12 @@
 }
 
 std::optional<registry::ShareRequest> WorkerLimits::makeRequest(bool all, base::TimePoint now) {
-  auto request = shares_.ask(all, now);
+  auto request = shares_.makeRequest(all, now);
   return request ? std::optional(registry::ShareRequest{std::move(*request)}) : std::nullopt;
 }
 
 bool WorkerLimits::grantReceived(const registry::ShareGrant& grant, base::TimePoint now) {
-  return shares_.granted(grant.grant, now);
+  return shares_.grantReceived(grant.grant, now);
 }
 
 }  // namespace walnut::gateway
--- a/src/simulator/fleet_gateway.cpp
+++ b/src/simulator/fleet_gateway.cpp
@@ -109,8 +109,8 @@
   return process_ == nullptr ? 0 : process_->gateway.documentVersion();
 }
 
-std::uint64_t FleetGateway::keysInForce() const {
-  return process_ == nullptr ? 0 : process_->gateway.keysInForce();
+std::uint64_t FleetGateway::admittingDocumentVersion() const {
+  return process_ == nullptr ? 0 : process_->gateway.admittingDocumentVersion();
 }
 
 void FleetGateway::opened(protocol::ConnectionId connection, const base::Endpoint& server) {
--- a/src/simulator/fleet_gateway.h
+++ b/src/simulator/fleet_gateway.h
@@ -45,7 +45,7 @@
   /// @return the version of the document that it serves by; 0: it serves nothing.
   std::uint64_t documentVersion() const;
   /// @return the version by whose keys it would let a request through; 0: it would refuse all.
-  std::uint64_t keysInForce() const;
+  std::uint64_t admittingDocumentVersion() const;
   Processor& processor() { return processor_; }
   HostIndex host = 0;
 
--- a/src/simulator/registry_fleet_checks.cpp
+++ b/src/simulator/registry_fleet_checks.cpp
@@ -69,7 +69,7 @@
       violations_.push_back({now() - startedAt_, index, served, due});
     }
     if (gateways_[index]->running() && now() >= gatewayRestsAt_[index] && due > 0 &&
-        gateways_[index]->keysInForce() == 0) {
+        gateways_[index]->admittingDocumentVersion() == 0) {
       violations_.push_back({now() - startedAt_, index, 0, due, true});
     }
   }
@@ -77,7 +77,7 @@
 
 /// Holds at all times, disturbed or not: a key that was taken away opens nothing any more.
 void RegistryFleet::checkKeys(std::size_t gateway) {
-  const std::uint64_t keys = gateways_[gateway]->keysInForce();
+  const std::uint64_t keys = gateways_[gateway]->admittingDocumentVersion();
   const std::uint64_t due = dueVersion(options_.revokedWithin);
   if (keys != 0 && keys < due) {
     violations_.push_back({now() - startedAt_, gateway, keys, due, true});
--- a/test/gateway/exchange_test.cpp
+++ b/test/gateway/exchange_test.cpp
@@ -273,7 +273,7 @@
   CHECK_EQUAL(503, waiting->status);
   CHECK(waiting->headers.find("Retry-After") != nullptr);
   CHECK_EQUAL(0, running->status);
-  harness.gateway.giveUpAll();
+  harness.gateway.cancelAll();
   CHECK_EQUAL(502, running->status);
   CHECK_TRUE(sent(0).cancelled);
 }
--- a/test/simulator/quota_fleet_test.cpp
+++ b/test/simulator/quota_fleet_test.cpp
@@ -196,7 +196,7 @@
     if (leader_ == nullptr || gateway < cut_) {
       return;
     }
-    auto question = gateways_[gateway].account.ask(all, scheduler_.now());
+    auto question = gateways_[gateway].account.makeRequest(all, scheduler_.now());
     if (!question) {
       return;
     }
@@ -217,7 +217,7 @@
   }
   void granted(std::size_t index, const QuotaGrant& grant) {
     Gateway& gateway = gateways_[index];
-    if (!gateway.account.granted(grant, scheduler_.now())) {
+    if (!gateway.account.grantReceived(grant, scheduler_.now())) {
       return;
     }
     const std::size_t asked = std::min(gateway.asked, gateway.waiting.size());
