--- a/include/walnut/control/controller.h
+++ b/include/walnut/control/controller.h
@@ -97,12 +97,12 @@
 struct Persisted {};
 struct Tick {};
 /// Planned shutdown: transfer leadership, answer pending requests, then output ControllerStopped.
-struct PlannedStop {};
+struct PlannedShutdown {};
 /// @}
 
 using ControllerInput =
     std::variant<PeerOpened, PeerClosed, PeerMessage, ApiCall, ApiWatchOpened, ApiWatchClosed,
-                 EngineCallFinished, PlatformListRead, Persisted, Tick, PlannedStop>;
+                 EngineCallFinished, PlatformListRead, Persisted, Tick, PlannedShutdown>;
 
 /// @name Outputs
 /// @{
--- a/include/walnut/registry/registry.h
+++ b/include/walnut/registry/registry.h
@@ -116,11 +116,11 @@
 struct Persisted {};
 struct Tick {};
 /// The process is about to stop: the server hands over leadership.
-struct PlannedStop {};
+struct PlannedShutdown {};
 /// @}
 
 using RegistryInput = std::variant<LinkOpened, LinkClosed, LinkReceived, CallReceived,
-                                   OrderFinished, ReportFinished, Persisted, Tick, PlannedStop>;
+                                   OrderFinished, ReportFinished, Persisted, Tick, PlannedShutdown>;
 
 /// @name Outputs
 /// @{
--- a/include/walnut/routing/router.h
+++ b/include/walnut/routing/router.h
@@ -121,13 +121,13 @@
 struct Tick {};
 /// Planned shutdown: the router refuses new requests, finishes the accepted ones and then outputs
 /// RouterStopped.
-struct PlannedStop {};
+struct PlannedShutdown {};
 /// @}
 
 using RouterInput =
     std::variant<CallerRequested, CallerDisconnected, EngineEvent, EngineExported, StateStored,
                  StateHoldAnswered, CacheEventsRead, ControllerConnected, ControllerDisconnected,
-                 ControllerMessage, Tick, PlannedStop>;
+                 ControllerMessage, Tick, PlannedShutdown>;
 
 /// @name Outputs
 /// @{
--- a/src/control/controller_impl.cpp
+++ b/src/control/controller_impl.cpp
@@ -75,7 +75,7 @@
 
 void ControllerImpl::handle(const Tick&) { raft_->tick(now_); }
 
-void ControllerImpl::handle(const PlannedStop&) {
+void ControllerImpl::handle(const PlannedShutdown&) {
   if (!stopDeadline_) {
     stopDeadline_ = now_ + options_.plannedStopTimeout;
     api_.stop();
--- a/src/control/controller_impl.h
+++ b/src/control/controller_impl.h
@@ -51,7 +51,7 @@
   void handle(const PlatformListRead& input);
   void handle(const Persisted& input);
   void handle(const Tick& input);
-  void handle(const PlannedStop& input);
+  void handle(const PlannedShutdown& input);
 
   /// Handle messages of peers. Messages that are not addressed to a server are ignored.
   void receive(protocol::ConnectionId from, const consensus::Message& message);
--- a/src/daemon/controller_host.cpp
+++ b/src/daemon/controller_host.cpp
@@ -87,7 +87,7 @@
 
 void ControllerHost::beginStop() {
   if (!stopping_.exchange(true)) {
-    inbox_.push(control::ControllerInput(control::PlannedStop{}));
+    inbox_.push(control::ControllerInput(control::PlannedShutdown{}));
   }
 }
 
--- a/src/daemon/registry_host.cpp
+++ b/src/daemon/registry_host.cpp
@@ -344,7 +344,7 @@
 void RegistryHost::beginStop() {
   log_.write(LogEvent::processStopping, {{"reason", "signal"}});
   control_->announceClose();
-  step(registry::PlannedStop{});
+  step(registry::PlannedShutdown{});
   stopDeadline_ = dispatcher_.now() + settings_.stopTimeout;
   checkStopped();
 }
--- a/src/daemon/router_host.cpp
+++ b/src/daemon/router_host.cpp
@@ -64,7 +64,7 @@
 
 void RouterHost::beginStop() {
   if (!stopping_.exchange(true)) {
-    inbox_.push(routing::RouterInput(routing::PlannedStop{}));
+    inbox_.push(routing::RouterInput(routing::PlannedShutdown{}));
   }
 }
 
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -153,7 +153,7 @@
 
 void RegistryImpl::handle(const Persisted&) { raft_->onPersisted(now_); }
 
-void RegistryImpl::handle(const PlannedStop&) { raft_->transferLeadership(now_); }
+void RegistryImpl::handle(const PlannedShutdown&) { raft_->transferLeadership(now_); }
 
 // Messages
 
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -51,7 +51,7 @@
   void handle(const ReportFinished& input);
   void handle(const Persisted&);
   void handle(const Tick&) {}
-  void handle(const PlannedStop&);
+  void handle(const PlannedShutdown&);
 
   // Messages
   void receive(protocol::ConnectionId from, const consensus::Message& message);
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -107,7 +107,7 @@
 
 void RouterImpl::handle(const Tick&) {}
 
-void RouterImpl::handle(const PlannedStop&) { core_.stopping = true; }
+void RouterImpl::handle(const PlannedShutdown&) { core_.stopping = true; }
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::WatchDelta& delta) {
   const consensus::LogIndex before = core_.view.index();
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -37,7 +37,7 @@
   void handle(const ControllerDisconnected& input);
   void handle(const ControllerMessage& input);
   void handle(const Tick& input);
-  void handle(const PlannedStop& input);
+  void handle(const PlannedShutdown& input);
 
   void receive(protocol::ConnectionId connection, const protocol::WatchDelta& delta);
   void receive(protocol::ConnectionId connection, const protocol::WatchSnapshotPage& page);
--- a/src/simulator/controller_node.cpp
+++ b/src/simulator/controller_node.cpp
@@ -103,7 +103,7 @@
   }
 }
 
-void ControllerNode::requestPlannedStop() { input(control::PlannedStop{}); }
+void ControllerNode::requestPlannedStop() { input(control::PlannedShutdown{}); }
 
 PeerEvents ControllerNode::peerEvents() {
   PeerEvents events;
--- a/src/simulator/router_node.cpp
+++ b/src/simulator/router_node.cpp
@@ -217,7 +217,7 @@
     return;
   }
   stopping_ = true;
-  input(routing::PlannedStop{});
+  input(routing::PlannedShutdown{});
 }
 
 bool RouterNode::misroutes(const engine::GenerateRequest& generate) {
--- a/test/control/controller_cell.h
+++ b/test/control/controller_cell.h
@@ -170,7 +170,7 @@
     servers_[server].partitioned = partitioned;
   }
 
-  void stop(std::size_t server) { input(server, PlannedStop{}); }
+  void stop(std::size_t server) { input(server, PlannedShutdown{}); }
 
   std::uint64_t beginCall(std::size_t server, protocol::ApiRequest request) {
     input(server, ApiCall{++calls_, std::move(request)});
--- a/test/routing/scenario_world.cpp
+++ b/test/routing/scenario_world.cpp
@@ -50,7 +50,7 @@
   }
   at(kFaultTime, [this] {
     stopRequested_ = true;
-    deliver(PlannedStop{});
+    deliver(PlannedShutdown{});
   });
   const base::TimePoint end = now_ + kFaultTime + kShutdownTime;
   while (true) {
