--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -27,17 +27,17 @@
 
  private:
   void handle(const CallerRequested& input);
-  void handle(const CallerGone& input);
+  void handle(const CallerDisconnected& input);
   void handle(const EngineEvent& input);
   void handle(const EngineExported& input);
-  void handle(const EngineHeld& input);
-  void handle(const StateKept& input);
+  void handle(const StateHoldAnswered& input);
+  void handle(const StateStored& input);
   void handle(const CacheEventsRead& input);
   void handle(const ControllerConnected& input);
   void handle(const ControllerDisconnected& input);
   void handle(const ControllerMessage& input);
   void handle(const Tick& input);
-  void handle(const PlannedStop& input);
+  void handle(const PlannedShutdown& input);
 
   void receive(protocol::ConnectionId connection, const protocol::WatchDelta& delta);
   void receive(protocol::ConnectionId connection, const protocol::WatchSnapshotPage& page);
