--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -77,7 +77,7 @@
 
 void Exchange::cancel() {
   if (state_ == State::attempting) {
-    worker_->breaker.undecided(now());
+    worker_->breaker.recordNoOutcome(now());
     dropAttempt();
     mayHaveRun_ = true;
     state_ = State::choosing;
@@ -188,7 +188,7 @@
   if (!classification || classification->standing != registry::RequestStanding::quarantined) {
     return;
   }
-  worker_->breaker.undecided(now());
+  worker_->breaker.recordNoOutcome(now());
   dropAttempt();
   mayHaveRun_ = true;
   state_ = State::choosing;
@@ -215,7 +215,7 @@
   body_.clear();
   context_.takeShare(worker->view.record.id);
   context_.attemptBegan(*worker, facts_);
-  worker->breaker.attempted();
+  worker->breaker.recordAttempt();
   AttemptFacts facts;
   facts.target = worker->view.record.calledName();
   facts.tenant = facts_.tenant;
@@ -340,7 +340,7 @@
   const bool running = state_ == State::attempting;
   if (running) {
     if (isHeadReceived_) {
-      worker_->breaker.undecided(now());
+      worker_->breaker.recordNoOutcome(now());
     } else {
       context_.attemptFailed(*worker_);
       recordFailure();
@@ -396,7 +396,7 @@
     return;
   }
   if (state_ == State::attempting) {
-    worker_->breaker.undecided(now());
+    worker_->breaker.recordNoOutcome(now());
     const base::Duration timeout = std::max(kStallFloor, route_.targetLatency);
     if (!isAnswerRecorded_ && now() - attemptAt_ >= timeout) {
       recordFailure();
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -40,7 +40,7 @@
   head_.reason = std::move(head.reason);
   head_.headers = std::move(head.headers);
   net::removeConnectionHeaders(head_.headers);
-  worker_->breaker.succeeded();
+  worker_->breaker.recordSuccess();
   const bool success = head_.status >= kOk && head_.status < kMultipleChoices;
   accepted_ = success && answer_.sealed && !answer_.encoded && !answer_.requestId.empty();
   if (accepted_) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -455,7 +455,7 @@
 void Gateway::attemptFailed(Worker& worker) {
   const bool wasOpen = worker.breaker.state() == routing::BreakerState::open;
   worker.failures.observe(true, scheduler_.now());
-  worker.breaker.failed(scheduler_.now(), options_.breakerFailures, options_.breakerOpenFor);
+  worker.breaker.recordFailure(scheduler_.now(), options_.breakerFailures, options_.breakerOpenFor);
   if (!wasOpen && worker.breaker.state() == routing::BreakerState::open) {
     log_.write(LogEvent::breakerOpened, {{"worker", worker.view.record.id.value}});
     reportDemandSoon();
