--- a/test/registry/heartbeat_relay_test.cpp
+++ b/test/registry/heartbeat_relay_test.cpp
@@ -1,5 +1,5 @@
-/// Heartbeats that any server takes: a cell of thousands of workers must not have its leader read
-/// each of them.
+/// Tests of HeartbeatRelay: any server acknowledges heartbeats, as the leader of a cell with
+/// thousands of workers can't parse all of them.
 
 #include "registry/heartbeat_relay.h"
 
@@ -19,95 +19,95 @@
   HeartbeatRelay relay;
   base::TimePoint now = base::TimePoint(100s);
 
-  static Heartbeat beat(const char* id, std::uint64_t sequence, const char* model = "m") {
+  static Heartbeat makeHeartbeat(const char* id, std::uint64_t sequence, const char* model = "m") {
     return Cluster::alive(id, sequence, false, {model}).heartbeat;
   }
-  /// @return what the leader is told now; empty if nothing is due.
+  /// @return the batch for the leader; empty if none is due.
   HeartbeatBatch batch() { return relay.takeBatch(now).value_or(HeartbeatBatch{}); }
-  void setup() override { state.apply(StoreWorker{beat("w", 1).worker}); }
+  void setup() override { state.apply(StoreWorker{makeHeartbeat("w", 1).worker}); }
 };
 
-TEST(HeartbeatRelayTest, whatChangesTheRecordIsLeftToTheLeader) {
-  CHECK_FALSE(relay.take(beat("unknown", 1), state));
-  Heartbeat leaving = beat("w", 2);
+TEST(HeartbeatRelayTest, aHeartbeatThatChangesTheRecordIsLeftToTheLeader) {
+  CHECK_FALSE(relay.take(makeHeartbeat("unknown", 1), state));
+  Heartbeat leaving = makeHeartbeat("w", 2);
   leaving.worker.leaving = true;
   CHECK_FALSE(relay.take(leaving, state));
-  Heartbeat elsewhere = beat("w", 3);
+  Heartbeat elsewhere = makeHeartbeat("w", 3);
   elsewhere.worker.endpoint.port = 81;
   CHECK_FALSE(relay.take(elsewhere, state));
   CHECK_TRUE(relay.takeBatch(now) == std::nullopt);
 }
 
-TEST(HeartbeatRelayTest, theFirstIsToldInFullAndTheSameAgainInShort) {
-  CHECK_TRUE(relay.take(beat("w", 1), state));
+TEST(HeartbeatRelayTest, anUnchangedHeartbeatIsReportedAsContactOnly) {
+  CHECK_TRUE(relay.take(makeHeartbeat("w", 1), state));
   CHECK_EQUAL(1, batch().changed.size());
-  CHECK_TRUE(relay.take(beat("w", 2), state));
-  CHECK_TRUE(batch().heard.empty());
+  CHECK_TRUE(relay.take(makeHeartbeat("w", 2), state));
+  CHECK_TRUE(batch().contacts.empty());
   now += HeartbeatRelay::kBatchInterval;
   const HeartbeatBatch again = batch();
   CHECK_TRUE(again.changed.empty());
-  CHECK_EQUAL(1, again.heard.size());
-  CHECK_EQUAL(2, again.heard.front().sequence);
+  CHECK_EQUAL(1, again.contacts.size());
+  CHECK_EQUAL(2, again.contacts.front().sequence);
 }
 
-TEST(HeartbeatRelayTest, anotherModelIsToldSoon) {
-  relay.take(beat("w", 1), state);
+TEST(HeartbeatRelayTest, aChangedModelIsReportedAfterTheChangeSpacing) {
+  relay.take(makeHeartbeat("w", 1), state);
   (void)batch();
   now += HeartbeatRelay::kChangeSpacing;
-  relay.take(beat("w", 2, "other"), state);
+  relay.take(makeHeartbeat("w", 2, "other"), state);
   CHECK_EQUAL(1, batch().changed.size());
 }
 
-TEST(HeartbeatRelayTest, anEarlierOneThatComesLateSaysNothing) {
-  relay.take(beat("w", 5), state);
+TEST(HeartbeatRelayTest, aLateHeartbeatWithALowerSequenceIsIgnored) {
+  relay.take(makeHeartbeat("w", 5), state);
   (void)batch();
-  CHECK_TRUE(relay.take(beat("w", 4, "other"), state));
+  CHECK_TRUE(relay.take(makeHeartbeat("w", 4, "other"), state));
   now += HeartbeatRelay::kBatchInterval;
   CHECK_TRUE(batch().changed.empty());
 }
 
-TEST(HeartbeatRelayTest, anotherLeaderIsToldInFull) {
-  relay.take(beat("w", 1), state);
+TEST(HeartbeatRelayTest, aNewLeaderIsSentFullHeartbeats) {
+  relay.take(makeHeartbeat("w", 1), state);
   (void)batch();
   relay.leaderChanged();
-  relay.take(beat("w", 2), state);
+  relay.take(makeHeartbeat("w", 2), state);
   now += HeartbeatRelay::kBatchInterval;
   CHECK_EQUAL(1, batch().changed.size());
 }
 
-TEST(HeartbeatRelayTest, whatTheLeaderWantsIsToldInFull) {
-  relay.take(beat("w", 1), state);
+TEST(HeartbeatRelayTest, requestedWorkersAreReportedInFull) {
+  relay.take(makeHeartbeat("w", 1), state);
   (void)batch();
-  relay.wanted({{{"w"}, {"gone"}}});
+  relay.requestFull({{{"w"}, {"gone"}}});
   now += HeartbeatRelay::kChangeSpacing;
   CHECK_EQUAL(1, batch().changed.size());
 }
 
-TEST(HeartbeatRelayTest, aForgottenWorkerIsNotToldOf) {
-  relay.take(beat("w", 1), state);
+TEST(HeartbeatRelayTest, aForgottenWorkerIsNotReported) {
+  relay.take(makeHeartbeat("w", 1), state);
   state.apply(ForgetWorker{{"w"}});
-  CHECK_FALSE(relay.take(beat("w", 2), state));
+  CHECK_FALSE(relay.take(makeHeartbeat("w", 2), state));
   CHECK_EQUAL(0, relay.workerCount());
   CHECK_TRUE(relay.takeBatch(now) == std::nullopt);
 }
 
-/// All workers of a server after a change of leader.
-TEST(HeartbeatRelayTest, manyAreToldInSeveralBatches) {
+/// After a change of leader all workers of a server are reported in full.
+TEST(HeartbeatRelayTest, manyFullHeartbeatsAreSentInSeveralBatches) {
   constexpr std::size_t kWorkers = 150;
   for (std::size_t index = 0; index < kWorkers; ++index) {
-    Heartbeat one = beat(("w" + std::to_string(index)).c_str(), 1);
+    Heartbeat one = makeHeartbeat(("w" + std::to_string(index)).c_str(), 1);
     one.worker.endpoint.port = static_cast<std::uint16_t>(1000 + index);
     state.apply(StoreWorker{one.worker});
     CHECK_TRUE(relay.take(one, state));
   }
-  std::size_t told = 0;
+  std::size_t reportedCount = 0;
   for (int count = 0; count < 3; ++count) {
     const std::size_t changed = batch().changed.size();
-    CHECK_TRUE(changed <= HeartbeatRelay::kMostChanged);
-    told += changed;
+    CHECK_TRUE(changed <= HeartbeatRelay::kMaxFullHeartbeats);
+    reportedCount += changed;
     now += HeartbeatRelay::kChangeSpacing;
   }
-  CHECK_EQUAL(kWorkers, told);
+  CHECK_EQUAL(kWorkers, reportedCount);
 }
 
 TEST_GROUP(HeartbeatRelayClusterTest) {
@@ -129,11 +129,11 @@
     CHECK_TRUE(cluster.callUntilDone(other, Cluster::alive("w", ++sequence, false, {"m"}), 5s));
     cluster.run(100ms);
   }
-  ControlAnswer beat(std::uint16_t port) {
+  ControlAnswer sendHeartbeat(std::uint16_t port) {
     return cluster.call(port, Cluster::alive("w", ++sequence, false, {"m"}));
   }
-  /// @return what a new gateway is told of the worker.
-  std::optional<WorkerView> told() {
+  /// @return the view of the worker that is sent to a new gateway.
+  std::optional<WorkerView> publishedView() {
     ViewDecoder decoder;
     std::optional<WorkerView> view;
     for (const MessageBody& body : cluster.subscribe(*cluster.leader(), 300ms)) {
@@ -148,55 +148,55 @@
   }
 };
 
-TEST(HeartbeatRelayClusterTest, aServerThatDoesNotLeadAnswersAtOnceAndKeepsTheWorker) {
+TEST(HeartbeatRelayClusterTest, aFollowerAnswersAtOnceAndKeepsTheWorker) {
   const base::TimePoint before = cluster.now();
-  const ControlAnswer answer = beat(other);
+  const ControlAnswer answer = sendHeartbeat(other);
   CHECK_TRUE(answer.status == ControlStatus::done);
   CHECK_TRUE(cluster.now() == before);
   CHECK_EQUAL(other, answer.leader->port);
 }
 
-TEST(HeartbeatRelayClusterTest, theLeaderKnowsThatTheWorkerIsAlive) {
+TEST(HeartbeatRelayClusterTest, relayedHeartbeatsShowTheLeaderThatTheWorkerIsAlive) {
   for (int count = 0; count < 10; ++count) {
     cluster.run(1s);
-    CHECK_TRUE(beat(other).status == ControlStatus::done);
+    CHECK_TRUE(sendHeartbeat(other).status == ControlStatus::done);
   }
-  CHECK_FALSE(told()->silent);
-  CHECK_EQUAL(1, told()->models.size());
+  CHECK_FALSE(publishedView()->silent);
+  CHECK_EQUAL(1, publishedView()->models.size());
   cluster.run(6s);
-  CHECK_TRUE(told()->silent);
+  CHECK_TRUE(publishedView()->silent);
 }
 
-/// What it takes would be acknowledged, and its worker held to be silent.
+/// Such a heartbeat would be acknowledged while the leader considers its worker unresponsive.
 TEST(HeartbeatRelayClusterTest, aServerThatIsCutOffTakesNone) {
-  cluster.cut(other);
+  cluster.partition(other);
   cluster.run(1s);
-  CHECK_TRUE(beat(other).status == ControlStatus::unavailable);
+  CHECK_TRUE(sendHeartbeat(other).status == ControlStatus::unavailable);
 }
 
 TEST(HeartbeatRelayClusterTest, aServerThatWasSuspendedTakesNoneBeforeItHearsTheLeader) {
   cluster.suspend(other);
   cluster.run(3s);
-  cluster.wake(other);
+  cluster.resume(other);
   const base::TimePoint before = cluster.now();
-  (void)beat(other);
+  (void)sendHeartbeat(other);
   CHECK_TRUE(cluster.now() > before);
 }
 
 TEST(HeartbeatRelayClusterTest, anotherLeaderHearsOfTheWorkerInFull) {
-  cluster.cut(leader);
+  cluster.partition(leader);
   cluster.run(4s);
   CHECK_TRUE(cluster.leader().has_value());
   const auto third = static_cast<std::uint16_t>(other % 5 + 1);
   for (int count = 0; count < 3; ++count) {
-    (void)beat(*cluster.leader() == other ? third : other);
+    (void)sendHeartbeat(*cluster.leader() == other ? third : other);
     cluster.run(1s);
   }
-  CHECK_FALSE(told()->silent);
-  CHECK_EQUAL(1, told()->models.size());
+  CHECK_FALSE(publishedView()->silent);
+  CHECK_EQUAL(1, publishedView()->models.size());
 }
 
-/// It would not know the message.
+/// A leader of an earlier build does not support HeartbeatBatch.
 TEST(HeartbeatRelayClusterTest, aLeaderOfAnEarlierBuildIsForwardedEachHeartbeat) {
   Cluster mixed{2};
   const std::vector<std::uint16_t> seeds = {1, 2, 3};
--- a/test/registry/registry_cluster_test.cpp
+++ b/test/registry/registry_cluster_test.cpp
@@ -1,4 +1,4 @@
-/// A cell of registry servers under failures.
+/// Tests of a cell of registry servers under failures.
 
 #include "registry/cluster.h"
 
@@ -19,7 +19,7 @@
 TEST_GROUP(RegistryClusterTest) {
   Cluster cluster{2};
 
-  /// Three founders and two servers that join them.
+  /// Starts three founders and two servers that join them.
   void startFive() {
     for (const std::uint16_t port : kSeeds) {
       cluster.start(port, port, kSeeds, kSeeds);
@@ -42,7 +42,7 @@
   }
 };
 
-TEST(RegistryClusterTest, nothingIsAcknowledgedBeforeItOutlivesTheLosses) {
+TEST(RegistryClusterTest, nothingIsAcknowledgedBeforeItToleratesTheLosses) {
   for (const std::uint16_t port : kSeeds) {
     cluster.start(port, port, kSeeds, kSeeds);
   }
@@ -59,7 +59,7 @@
   CHECK_EQUAL(5, cluster.voterCount(*cluster.leader()));
 }
 
-TEST(RegistryClusterTest, seedsMayBeLate) {
+TEST(RegistryClusterTest, theCellFormsWhenSeedsStartLate) {
   cluster.start(4, 4, {}, kSeeds);
   cluster.start(5, 5, {}, kSeeds);
   cluster.start(1, 1, kSeeds, kSeeds);
@@ -99,12 +99,12 @@
   startFive();
   declare(1, "1 one");
   const std::uint16_t old = *cluster.leader();
-  cluster.cut(old);
+  cluster.partition(old);
   CHECK_TRUE(cluster.call(old, ReplaceDocument{"2 two"}).status == ControlStatus::unavailable);
   const std::uint16_t other = old == 1 ? 2 : 1;
   declare(other, "3 three");
   CHECK_TRUE(cluster.call(old, ReadDocument{}).status == ControlStatus::unavailable);
-  cluster.heal(old);
+  cluster.reconnect(old);
   cluster.run(3s);
   STRCMP_EQUAL("3 three", readAt(old).c_str());
 }
@@ -152,7 +152,7 @@
   cluster.run(1s);
   cluster.start(6, 6, {}, {1, 2, 3});
   cluster.run(4s);
-  // Two more may be lost now.
+  // The cell tolerates two more losses now.
   cluster.stop(1);
   cluster.stop(2);
   cluster.run(3s);
@@ -169,26 +169,27 @@
   CHECK_TRUE(cluster.callUntilDone(4, Cluster::alive("w", 1, false, {}), 5s));
 }
 
-/// What a server has applied may be older than what was acknowledged.
-TEST(RegistryClusterTest, onlyTheLeaderTellsGatewaysOfADocument) {
+/// Guards against stale views: the state that a follower has applied may be older than what was
+/// acknowledged.
+TEST(RegistryClusterTest, onlyTheLeaderSendsGatewaysViewsAndDocuments) {
   startFive();
   declare(1, "1 one");
   cluster.run(2s);
   const std::uint16_t leader = *cluster.leader();
   std::vector<std::uint16_t> ports = {1, 2, 3, 4, 5};
-  // The leader last: it goes on telling.
+  // The leader comes last, as it keeps sending updates.
   std::erase(ports, leader);
   ports.push_back(leader);
   for (const std::uint16_t port : ports) {
     const auto answers = cluster.subscribe(port);
-    const bool told = std::any_of(answers.begin(), answers.end(), [](const MessageBody& body) {
+    const bool isSent = std::any_of(answers.begin(), answers.end(), [](const MessageBody& body) {
       return std::holds_alternative<PackedView>(body) || std::holds_alternative<DocumentPart>(body);
     });
-    CHECK_EQUAL(port == leader, told);
+    CHECK_EQUAL(port == leader, isSent);
   }
 }
 
-/// After a restart a server's own state is its snapshot, until a leader has committed an entry.
+/// After a restart a server has only the state of its snapshot until a leader commits an entry.
 TEST(RegistryClusterTest, aServerThatRestartedAloneTellsGatewaysNothing) {
   startFive();
   declare(1, "1 one");
@@ -203,18 +204,18 @@
 }
 
 TEST_GROUP_BASE(QuarantineClusterTest, TEST_GROUP_CppUTestGroupRegistryClusterTest){
-    /// A gateway tells of a request that was cut at three workers which are gone.
+    /// Reports a request that was cut at three workers which have ended.
     void quarantine(){CutReport report;
 for (const char* id : {"w1", "w2", "w3"}) {
   report.cuts.push_back({RequestDigest{}, {id}, false, 0s});
 }
-(void)cluster.say(*cluster.leader(), report);
+(void)cluster.sendAsGateway(*cluster.leader(), report);
 }
-/// Checks that the leader tells a new gateway of it before anything else.
-void checkToldFirst() {
-  const std::vector<MessageBody> told = cluster.subscribe(*cluster.leader());
-  CHECK_FALSE(told.empty());
-  const auto* list = std::get_if<SuspectList>(&told.front());
+/// Checks that the leader sends a new gateway the quarantine before anything else.
+void checkListSentFirst() {
+  const std::vector<MessageBody> received = cluster.subscribe(*cluster.leader());
+  CHECK_FALSE(received.empty());
+  const auto* list = std::get_if<SuspectList>(&received.front());
   CHECK(list != nullptr);
   CHECK_EQUAL(1, list->requests.size());
   CHECK(list->requests[0].standing == RequestStanding::quarantined);
@@ -222,18 +223,18 @@
 }
 ;
 
-TEST(QuarantineClusterTest, aQuarantineOutlivesItsLeader) {
+TEST(QuarantineClusterTest, aQuarantineSurvivesAChangeOfLeader) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
   quarantine();
-  checkToldFirst();
+  checkListSentFirst();
   cluster.stop(*cluster.leader());
   cluster.run(5s);
-  checkToldFirst();
+  checkListSentFirst();
 }
 
-TEST(QuarantineClusterTest, aQuarantineOutlivesALossOfPowerOfAll) {
+TEST(QuarantineClusterTest, aQuarantineSurvivesARestartOfAllServers) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
@@ -245,10 +246,10 @@
     cluster.start(port, port, {}, kSeeds);
   }
   cluster.run(5s);
-  checkToldFirst();
+  checkListSentFirst();
 }
 
-TEST(QuarantineClusterTest, withoutSuspectsNothingIsToldOfThem) {
+TEST(QuarantineClusterTest, withoutSuspectsNoListIsSent) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
@@ -257,19 +258,19 @@
   }
 }
 
-/// What a leader is asked first after it was suspended, it answers by a lease that has ended.
-TEST(RegistryClusterTest, aLeaderThatWasSuspendedTellsGatewaysNothing) {
+/// Guards against a resumed leader that answers its first message under an expired lease.
+TEST(RegistryClusterTest, aLeaderThatWasSuspendedSendsGatewaysNoView) {
   startFive();
   cluster.run(5s);
   declare(1, "1 one");
   const std::uint16_t former = *cluster.leader();
   cluster.suspend(former);
   cluster.run(5s);
-  const std::vector<MessageBody> told = cluster.subscribe(former, 0s);
-  for (const MessageBody& body : told) {
+  const std::vector<MessageBody> received = cluster.subscribe(former, 0s);
+  for (const MessageBody& body : received) {
     CHECK_FALSE(std::holds_alternative<PackedView>(body));
   }
-  cluster.wake(former);
+  cluster.resume(former);
   cluster.run(2s);
   CHECK(cluster.leader() != former);
 }
@@ -283,7 +284,7 @@
   cluster.run(3s);
   const std::uint16_t other = former == 1 ? 2 : 1;
   declare(other, "2 two");
-  cluster.wake(former);
+  cluster.resume(former);
   const ControlAnswer answer = cluster.call(former, ReadDocument{});
   CHECK(answer.status != ControlStatus::done || answer.text == "2 two");
 }
@@ -307,14 +308,14 @@
   cluster.run(5s);
   declare(1, "4 four");
   const std::uint16_t leader = *cluster.leader();
-  CHECK(confirmedVersion(cluster.say(leader, ConfirmDocument{1})) == 4U);
+  CHECK(confirmedVersion(cluster.sendAsGateway(leader, ConfirmDocument{1})) == 4U);
   const std::uint16_t other = leader == 1 ? 2 : 1;
-  CHECK(!confirmedVersion(cluster.say(other, ConfirmDocument{2})));
-  cluster.cut(leader);
-  CHECK(!confirmedVersion(cluster.say(leader, ConfirmDocument{3}, 200ms)));
+  CHECK(!confirmedVersion(cluster.sendAsGateway(other, ConfirmDocument{2})));
+  cluster.partition(leader);
+  CHECK(!confirmedVersion(cluster.sendAsGateway(leader, ConfirmDocument{3}, 200ms)));
 }
 
-/// The question comes before it has heard that another server leads.
+/// The query arrives before the resumed server learns that another one leads.
 TEST(RegistryClusterTest, aLeaderThatWasSuspendedConfirmsNothingOlderThanWhatWasAcknowledged) {
   startFive();
   cluster.run(5s);
@@ -323,6 +324,6 @@
   cluster.suspend(former);
   cluster.run(3s);
   declare(former == 1 ? 2 : 1, "2 two");
-  cluster.wake(former);
-  CHECK(confirmedVersion(cluster.say(former, ConfirmDocument{1})).value_or(2) == 2);
+  cluster.resume(former);
+  CHECK(confirmedVersion(cluster.sendAsGateway(former, ConfirmDocument{1})).value_or(2) == 2);
 }
