--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -16,11 +16,11 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 constexpr std::string_view kQuarantined = "quarantined";
-constexpr int kNoAnswer = 0;  ///< The caller had left, or the answer was broken off.
+constexpr int kNoAnswer = 0;  ///< The caller had disconnected, or the response was aborted.
 
 constexpr base::Duration kDefaultDeadline = std::chrono::seconds(60);
-constexpr std::uint32_t kMaxArrivals = 8;
-/// When a refused caller is asked to come back.
+constexpr std::uint32_t kMaxDeliveredAttempts = 8;
+/// Retry-After values of refusals.
 constexpr base::Duration kRetryAfterFull = std::chrono::milliseconds(300);
 constexpr base::Duration kRetryAfterTimeout = std::chrono::milliseconds(500);
 std::uint64_t millisOf(base::Duration duration) {
@@ -64,7 +64,7 @@
 }
 
 void Exchange::viewChanged() {
-  if (state_ == State::choosing && waiting_) {
+  if (state_ == State::choosing && isWaiting_) {
     choose();
   }
 }
@@ -75,7 +75,7 @@
   }
 }
 
-void Exchange::giveUp() {
+void Exchange::cancel() {
   if (state_ == State::attempting) {
     worker_->breaker.undecided(now());
     dropAttempt();
@@ -97,11 +97,11 @@
     return;
   }
   const Selection selection = context_.selector().select(service_, facts_, excluded_, now());
-  if (selection.askable != nullptr) {
-    askForShare(*selection.askable);
+  if (selection.requestable != nullptr) {
+    requestShare(*selection.requestable);
     return;
   }
-  if (selection.lastResort != nullptr && takesLastResort()) {
+  if (selection.lastResort != nullptr && acceptsLastResort()) {
     endWait();
     launch(selection.lastResort);
     return;
@@ -131,56 +131,61 @@
   return *digest_;
 }
 
-/// What ended under several workers would end the next one as well, with all that it has: it is
-/// refused at once, and its caller told for how long that holds. While that is not sure it waits,
-/// if it has the time: most of what was merely beside such a request is cleared within 2 s.
-/// @return false if it may be sent.
+/// Refuses or delays a request that is suspected of crashing workers. A request that crashed
+/// several workers would crash the next one as well, with all other requests there: it is refused
+/// at once with the remaining time of its quarantine as Retry-After. While the classification is
+/// not certain (held) the request waits, if its deadline permits: most requests that merely ran
+/// beside such a request are cleared within 2 s.
+/// @return false if the request may be sent.
 bool Exchange::stopIfSuspect() {
-  const auto verdict = verdictOnThis();
-  if (!verdict || verdict->standing == registry::RequestStanding::suspected) {
+  const auto classification = ownClassification();
+  if (!classification || classification->standing == registry::RequestStanding::suspected) {
     return false;
   }
-  if (verdict->standing == registry::RequestStanding::held && verdict->until < deadline_) {
-    if (!std::exchange(held_, true)) {
-      noteStopped(*verdict, "held");
+  if (classification->standing == registry::RequestStanding::held &&
+      classification->until < deadline_) {
+    if (!std::exchange(wasHeld_, true)) {
+      logQuarantined(*classification, "held");
     }
-    retryTimer_->enableAt(verdict->until);
+    retryTimer_->enableAt(classification->until);
     return true;
   }
-  noteStopped(*verdict, "refused");
+  logQuarantined(*classification, "refused");
   if (headSent_) {
     failFinally(kQuarantined);
   } else {
-    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, kQuarantined, verdict->until - now());
+    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, kQuarantined, classification->until - now());
   }
   return true;
 }
 
-std::optional<RequestQuarantine::Verdict> Exchange::verdictOnThis() {
-  return context_.watchesRequests() ? context_.verdictOn(digest()) : std::nullopt;
+std::optional<RequestQuarantine::Classification> Exchange::ownClassification() {
+  return context_.hasSuspects() ? context_.classificationOf(digest()) : std::nullopt;
 }
 
-void Exchange::noteStopped(const RequestQuarantine::Verdict& verdict, std::string_view outcome) {
+void Exchange::logQuarantined(const RequestQuarantine::Classification& classification,
+                              std::string_view outcome) {
   context_.metrics().count("walnut_gateway_quarantined_total", std::string(outcome));
   context_.log().write(LogEvent::requestQuarantined,
                        {{"request", facts_.requestId},
                         {"digest", digest().text()},
                         {"outcome", outcome},
-                        {"crashes", std::uint64_t{verdict.crashes}},
-                        {"until-millis", millisOf(verdict.until - now())}});
+                        {"crashes", std::uint64_t{classification.crashes}},
+                        {"until-millis", millisOf(classification.until - now())}});
 }
 
-/// One that is queued at a worker has not crashed it yet, and is taken back.
+/// A request that is still queued at a worker has not crashed it yet, and is cancelled there if it
+/// is now quarantined.
 void Exchange::suspectsChanged() {
   if (state_ == State::choosing) {
-    held_ ? choose() : static_cast<void>(stopIfSuspect());
+    wasHeld_ ? choose() : static_cast<void>(stopIfSuspect());
     return;
   }
-  if (state_ != State::attempting || answerNoted_) {
+  if (state_ != State::attempting || isAnswerRecorded_) {
     return;
   }
-  const auto verdict = verdictOnThis();
-  if (!verdict || verdict->standing != registry::RequestStanding::quarantined) {
+  const auto classification = ownClassification();
+  if (!classification || classification->standing != registry::RequestStanding::quarantined) {
     return;
   }
   worker_->breaker.undecided(now());
@@ -190,8 +195,9 @@
   (void)stopIfSuspect();
 }
 
-/// A stream that is queued for longer than its target is late, and so is all that queues behind it;
-/// refused, it leaves the slots to those that can be in time. A stream that has begun goes on.
+/// A stream that queues for longer than its target latency is late, and delays all streams queued
+/// behind it. Refusing it leaves the slots to streams that can begin in time. A stream that has
+/// begun continues.
 bool Exchange::wouldBeginLate(const Selection& selection) const {
   return isStreaming() && !headSent_ && route_.targetLatency > base::Duration::zero() &&
          selection.expectedWait > route_.targetLatency;
@@ -200,11 +206,11 @@
 void Exchange::launch(const WorkerDirectory::WorkerPtr& worker) {
   state_ = State::attempting;
   worker_ = worker;
-  ++launches_;
+  ++startedAttempts_;
   attemptAt_ = now();
-  headSeen_ = false;
+  isHeadReceived_ = false;
   accepted_ = false;
-  answerNoted_ = false;
+  isAnswerRecorded_ = false;
   bodyUse_ = BodyUse::discard;
   body_.clear();
   context_.takeShare(worker->view.record.id);
@@ -217,15 +223,15 @@
   facts.priority = priority();
   facts.resumeAfter = headSent_ ? events_.lastId() : std::string();
   context_.dialect().writeAttempt(request_, facts);
-  context_.selector().affinity().sent(facts_, worker->view.record.id);
+  context_.selector().affinity().recordSent(facts_, worker->view.record.id);
   context_.log().write(LogEvent::attemptStarted, {{"request", facts_.requestId},
                                                   {"route", route_.name},
                                                   {"document", document_->version},
                                                   {"worker", worker->view.record.id.value},
-                                                  {"running", worker->runningTogether()},
-                                                  {"earlier", arrivals_}});
+                                                  {"running", worker->totalRunning()},
+                                                  {"earlier", deliveredAttempts_}});
   if (isStreaming()) {
-    armStall(std::max(kStallFloor, route_.targetLatency));
+    armStallTimer(std::max(kStallFloor, route_.targetLatency));
   }
   attempt_ = context_.launcher().start(worker->view.record, request_, *this);
 }
@@ -245,20 +251,21 @@
 }
 
 bool Exchange::mayRunAgain(Executed executed) const {
-  const std::uint32_t runs = runs_ + (executed == Executed::no ? 0 : 1);
+  const std::uint32_t runs = executedAttempts_ + (executed == Executed::no ? 0 : 1);
   return (executed == Executed::no || route_.repeatable()) && runs < route_.maxAttempts;
 }
 
-/// Once for each attempt.
-void Exchange::noteAnswered() {
-  if (!std::exchange(answerNoted_, true)) {
+/// Reports the attempt as answered, once for each attempt.
+void Exchange::recordAnswered() {
+  if (!std::exchange(isAnswerRecorded_, true)) {
     context_.attemptSettled(*worker_, facts_, AttemptOutcome::answered);
   }
 }
 
-/// A worker with requests for all its slots is slow to answer and resets connections though it is
-/// well; or it is ill and hangs. The registry knows whether it answers anybody.
-void Exchange::noteFailed() {
+/// A healthy worker whose slots are all taken is slow to answer and resets connections, just as a
+/// hanging one is. The registry tells the two apart, since it knows whether the worker answers
+/// other gateways; such a failure is reported as stalled.
+void Exchange::recordFailure() {
   context_.attemptSettled(*worker_, facts_,
                           worker_->full() ? AttemptOutcome::stalled : AttemptOutcome::failed);
 }
@@ -268,7 +275,7 @@
       LogEvent::attemptFailed,
       {{"request", facts_.requestId},
        {"worker", worker_->view.record.id.value},
-       {"status", static_cast<std::uint64_t>(headSeen_ ? head_.status : kNoAnswer)},
+       {"status", static_cast<std::uint64_t>(isHeadReceived_ ? head_.status : kNoAnswer)},
        {"executed", executed == Executed::no    ? "no"
                     : executed == Executed::yes ? "yes"
                                                 : "unknown"},
@@ -280,14 +287,14 @@
   logAttemptFailed(executed, reason);
   events_.restart();
   excluded_.insert(worker_->view.record.id);
-  if (executed != Executed::no || headSeen_) {
-    ++arrivals_;
+  if (executed != Executed::no || isHeadReceived_) {
+    ++deliveredAttempts_;
   }
   if (executed != Executed::no) {
-    ++runs_;
+    ++executedAttempts_;
     mayHaveRun_ = true;
   } else {
-    ++launchesNotRun_;
+    ++attemptsNotRun_;
   }
   state_ = State::choosing;
   retryOrFail(executed, reason);
@@ -295,13 +302,14 @@
 
 void Exchange::retryOrFail(Executed executed, std::string_view reason) {
   const bool repeatable = executed == Executed::no || route_.repeatable();
-  const bool runsLeft = runs_ < route_.maxAttempts;
-  if (!repeatable || !runsLeft || arrivals_ >= kMaxArrivals || now() >= deadline_) {
+  const bool runsLeft = executedAttempts_ < route_.maxAttempts;
+  if (!repeatable || !runsLeft || deliveredAttempts_ >= kMaxDeliveredAttempts ||
+      now() >= deadline_) {
     failFinally(reason);
     return;
   }
   const bool taken = std::exchange(retryTaken_, false);
-  if (arrivals_ > 0 && !taken && !context_.takeRetry(service_)) {
+  if (deliveredAttempts_ > 0 && !taken && !context_.takeRetry(service_)) {
     failFinally("retry budget used up");
     return;
   }
@@ -331,11 +339,11 @@
   }
   const bool running = state_ == State::attempting;
   if (running) {
-    if (headSeen_) {
+    if (isHeadReceived_) {
       worker_->breaker.undecided(now());
     } else {
       context_.attemptFailed(*worker_);
-      noteFailed();
+      recordFailure();
       context_.launcher().forget(worker_->view.record.id);
     }
     dropAttempt();
@@ -350,10 +358,10 @@
   }
 }
 
-void Exchange::armStall(base::Duration patience) {
-  if (route_.repeatable() && runs_ + 1 < route_.maxAttempts) {
-    stallPatience_ = patience;
-    stallTimer_->enableAt(now() + patience);
+void Exchange::armStallTimer(base::Duration timeout) {
+  if (route_.repeatable() && executedAttempts_ + 1 < route_.maxAttempts) {
+    stallTimeout_ = timeout;
+    stallTimer_->enableAt(now() + timeout);
   }
 }
 
@@ -364,19 +372,20 @@
   return other.worker != nullptr && !other.worker->full();
 }
 
-/// The worker has been silent for long: a stream that may be resumed goes on elsewhere, if it
-/// begins there at once. Else it keeps its place: most silent workers are busy, not lost.
+/// Handles a worker that has sent nothing for the stall timeout. A resumable stream continues at
+/// another worker if it can begin there at once. Otherwise it keeps its place: most unresponsive
+/// workers are busy, not lost.
 void Exchange::onStall() {
   if (state_ != State::attempting) {
     return;
   }
   if (!beginsSoonerElsewhere() || !context_.takeRetry(service_)) {
-    armStall(stallPatience_);
+    armStallTimer(stallTimeout_);
     return;
   }
   retryTaken_ = true;
   context_.attemptFailed(*worker_);
-  noteFailed();
+  recordFailure();
   context_.launcher().forget(worker_->view.record.id);
   dropAttempt();
   attemptEnded(Executed::unknown, "the worker is silent");
@@ -388,9 +397,9 @@
   }
   if (state_ == State::attempting) {
     worker_->breaker.undecided(now());
-    const base::Duration patience = std::max(kStallFloor, route_.targetLatency);
-    if (!answerNoted_ && now() - attemptAt_ >= patience) {
-      noteFailed();
+    const base::Duration timeout = std::max(kStallFloor, route_.targetLatency);
+    if (!isAnswerRecorded_ && now() - attemptAt_ >= timeout) {
+      recordFailure();
     }
     dropAttempt();
   }
@@ -435,7 +444,7 @@
        {"model", facts_.model},
        {"adapter", facts_.adapter},
        {"worker", worker_ == nullptr ? "" : worker_->view.record.id.value},
-       {"attempts", runs_ + std::uint64_t{accepted_}},
+       {"attempts", executedAttempts_ + std::uint64_t{accepted_}},
        {"first", millisOf(headSent_ ? firstEventAt_ - arrivedAt_ : base::Duration::zero())},
        {"gap", millisOf(longestGap_)},
        {"limit", registry::limitText(answer_.limit)},
@@ -443,7 +452,7 @@
        {"target", millisOf(route_.targetLatency)},
        {"target-gap", millisOf(route_.targetGap)},
        {"millis", millisOf(now() - arrivedAt_)}});
-  context_.ended(*this, status);
+  context_.exchangeEnded(*this, status);
 }
 
 }  // namespace walnut::gateway
--- a/src/gateway/exchange_answer.cpp
+++ b/src/gateway/exchange_answer.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of an exchange that takes the answer of a worker.
+/// The part of an exchange that processes the response of a worker.
 
 #include <algorithm>
 #include <charconv>
@@ -17,13 +17,13 @@
 constexpr int kMultipleChoices = 300;
 constexpr int kInternalError = 500;
 
-/// Answers without events are kept whole before they are passed on, up to this size.
-constexpr std::size_t kMaxCollected = 8U << 20U;
-/// A slow caller holds up its worker from here on.
+/// Maximum size of a non-streaming response, which is buffered whole before it is passed on.
+constexpr std::size_t kMaxBufferedBody = 8U << 20U;
+/// Bytes buffered for a slow caller above which reading from its worker is paused.
 constexpr std::size_t kHighWatermark = 256U << 10U;
-/// A worker that said it does not hold a model is not asked again for this long.
-constexpr base::Duration kMissedFor = std::chrono::milliseconds(500);
-constexpr base::Duration kMissedAdapterFor = std::chrono::milliseconds(25);
+/// Time for which no further request is sent to a worker that denied holding a model.
+constexpr base::Duration kMissingModelPeriod = std::chrono::milliseconds(500);
+constexpr base::Duration kMissingAdapterPeriod = std::chrono::milliseconds(25);
 constexpr int kStallFactor = 4;
 
 }  // namespace
@@ -34,8 +34,8 @@
     return false;
   }
   answer_ = std::move(facts);
-  context_.answerRead(*worker_, answer_, attemptAt_);
-  headSeen_ = true;
+  context_.responseHeadReceived(*worker_, answer_, attemptAt_);
+  isHeadReceived_ = true;
   head_.status = head.status;
   head_.reason = std::move(head.reason);
   head_.headers = std::move(head.headers);
@@ -44,14 +44,14 @@
   const bool success = head_.status >= kOk && head_.status < kMultipleChoices;
   accepted_ = success && answer_.sealed && !answer_.encoded && !answer_.requestId.empty();
   if (accepted_) {
-    takeSuccessHead();
+    processSuccessHead();
   } else {
     bodyUse_ = answer_.sealed ? BodyUse::collect : BodyUse::discard;
   }
   return true;
 }
 
-void Exchange::takeSuccessHead() {
+void Exchange::processSuccessHead() {
   bodyUse_ = isStreaming() ? BodyUse::stream : BodyUse::collect;
   if (!isStreaming()) {
     worker_->latency.observe(now() - attemptAt_);
@@ -69,22 +69,22 @@
     case BodyUse::discard:
       return;
     case BodyUse::collect:
-      if (body_.size() + bytes.size() <= kMaxCollected) {
+      if (body_.size() + bytes.size() <= kMaxBufferedBody) {
         body_.append(bytes);
       }
       return;
     case BodyUse::stream:
-      streamEvents(bytes);
+      forwardEvents(bytes);
       return;
   }
 }
 
-void Exchange::streamEvents(std::string_view bytes) {
+void Exchange::forwardEvents(std::string_view bytes) {
   const std::string whole = events_.feed(bytes);
   if (whole.empty()) {
     return;
   }
-  noteAnswered();
+  recordAnswered();
   if (!headSent_) {
     headSent_ = true;
     firstEventAt_ = now();
@@ -93,18 +93,18 @@
     worker_->latency.observe(now() - attemptAt_);
     sink_.beginChunked(head_);
   }
-  notePause(now() - lastEventAt_);
+  recordGap(now() - lastEventAt_);
   lastEventAt_ = now();
   sink_.writeChunk(whole);
-  armStall(std::max(kStallFloor, kStallFactor * route_.targetGap));
+  armStallTimer(std::max(kStallFloor, kStallFactor * route_.targetGap));
   if (sink_.bufferedBytes() > kHighWatermark) {
     attempt_->setReading(false);
     stallTimer_->disable();
   }
 }
 
-/// A pause that makes the answer late speaks against the worker like a failure, once a stream.
-void Exchange::notePause(base::Duration pause) {
+/// Counts a pause beyond the target gap as a failure of the worker, once per stream.
+void Exchange::recordGap(base::Duration pause) {
   const bool first = longestGap_ <= pauseLimit();
   longestGap_ = std::max(longestGap_, pause);
   if (first && longestGap_ > pauseLimit()) {
@@ -122,11 +122,12 @@
   stallTimer_->disable();
   if (answer_.notExecuted) {
     if (worker_->full()) {
-      worker_->saidFull();
+      worker_->markFull();
     } else if (!facts_.model.empty()) {
-      // It does not hold it, or is about to drop it.
-      worker_->missed(facts_.model, facts_.adapter,
-                      now() + (facts_.adapter.empty() ? kMissedFor : kMissedAdapterFor));
+      // The worker does not hold the model, or is about to unload it.
+      worker_->markMissing(
+          facts_.model, facts_.adapter,
+          now() + (facts_.adapter.empty() ? kMissingModelPeriod : kMissingAdapterPeriod));
     }
     releaseAttempt();
     attemptEnded(Executed::no, "not run by the worker");
@@ -137,14 +138,14 @@
     return;
   }
   if (answer_.sealed) {
-    noteSuspectAnswered();
+    reportSuspectAnswered();
   }
   const bool failed = !accepted_ && (head_.status >= kInternalError || !answer_.sealed);
   worker_->failures.observe(!accepted_ && head_.status >= kInternalError, now());
   if (failed) {
-    noteFailed();
+    recordFailure();
   } else {
-    noteAnswered();
+    recordAnswered();
   }
   if (accepted_) {
     releaseAttempt();
@@ -167,20 +168,20 @@
 }
 
 void Exchange::completeStream() {
-  if (events_.midEvent()) {
-    noteCut();
-    noteFailed();
+  if (events_.hasPartialEvent()) {
+    reportCut();
+    recordFailure();
     dropAttempt();
     attemptEnded(Executed::yes, "the stream ended within an event");
     return;
   }
-  noteAnswered();
-  noteSuspectAnswered();
+  recordAnswered();
+  reportSuspectAnswered();
   if (longestGap_ <= pauseLimit()) {
     worker_->failures.observe(false, now());
   }
   releaseAttempt();
-  if (headSent_ && runs_ == 0) {
+  if (headSent_ && executedAttempts_ == 0) {
     context_.selector().slotHeld(service_, now() - firstEventAt_);
   }
   if (!headSent_) {
@@ -190,10 +191,11 @@
   finish(head_.status, "complete");
 }
 
-/// The worker may have ended, and this request may be why: one that had a part of its answer is
-/// none of those, as what crashes a worker does so before.
-void Exchange::noteCut() {
-  if (answerNoted_ || worker_->view.record.leaving) {
+/// Reports a request whose connection was cut: its worker may have crashed because of it. A request
+/// that had received part of its response is not reported, as a request that crashes a worker does
+/// so before it is answered.
+void Exchange::reportCut() {
+  if (isAnswerRecorded_ || worker_->view.record.leaving) {
     return;
   }
   context_.log().write(
@@ -201,17 +203,18 @@
       {{"request", facts_.requestId},
        {"digest", digest().text()},
        {"worker", worker_->view.record.id.value},
-       {"begun", std::string_view(headSeen_ ? "yes" : "no")},
-       {"running", std::uint64_t{worker_->runningTogether()}},
+       {"begun", std::string_view(isHeadReceived_ ? "yes" : "no")},
+       {"running", std::uint64_t{worker_->totalRunning()}},
        {"age-millis",
         static_cast<std::uint64_t>(
             std::chrono::duration_cast<std::chrono::milliseconds>(now() - attemptAt_).count())}});
-  context_.requestCut(*worker_, digest(), headSeen_);
+  context_.requestCut(*worker_, digest(), isHeadReceived_);
 }
 
-/// Also with an error of the worker's own: it is still there.
-void Exchange::noteSuspectAnswered() {
-  if (verdictOnThis()) {
+/// Reports that a suspect request was answered, also with an error of the worker's own: the worker
+/// survived the request.
+void Exchange::reportSuspectAnswered() {
+  if (ownClassification()) {
     context_.suspectAnswered(digest());
   }
 }
@@ -219,12 +222,12 @@
 void Exchange::onResponseFailure(const base::Error& error, bool sent) {
   stallTimer_->disable();
   context_.attemptFailed(*worker_);
-  const bool notRun = !sent || (headSeen_ && answer_.notExecuted);
-  if (!headSeen_ || !answer_.notExecuted) {
-    noteFailed();
+  const bool notRun = !sent || (isHeadReceived_ && answer_.notExecuted);
+  if (!isHeadReceived_ || !answer_.notExecuted) {
+    recordFailure();
   }
   if (!notRun) {
-    noteCut();
+    reportCut();
   }
   dropAttempt();
   attemptEnded(notRun ? Executed::no : Executed::unknown, base::errorCodeName(error.code));
--- a/src/gateway/worker_selector.cpp
+++ b/src/gateway/worker_selector.cpp
@@ -8,19 +8,21 @@
 namespace {
 
 constexpr std::size_t kMaxPrompts = 4096;
-/// Parts of a prompt that decide the affinity: beyond them it belongs to one request alone.
+/// Number of leading prompt parts that decide the affinity: later parts are specific to one
+/// request.
 constexpr std::size_t kSharedParts = 2;
-/// Expected time of a worker with all slots taken, as a multiple of that of an idle one.
+/// Expected time at a worker with all slots taken, as a multiple of that at an idle one.
 constexpr double kFullFactor = 4.0;
 constexpr double kOtherZoneFactor = 1.12;
 constexpr double kKnownPromptFactor = 0.85;
 constexpr double kNewConnectionFactor = 1.2;
 constexpr double kFailureFactor = 6.0;
-constexpr double kSilentFactor = 20.0;
-constexpr double kDefaultLatency = 0.05;  ///< In seconds, until any was observed.
+constexpr double kUnresponsiveFactor = 20.0;
+constexpr double kDefaultLatency = 0.05;  ///< In seconds, until a latency is observed.
 constexpr double kDefaultSlots = 8.0;
-/// Latencies count less than in proportion: they also depend on the requests.
-constexpr double kLatencyFloor = 0.3;
+/// Weight of the typical latency in the cost of a worker: a worker's own latency counts less than
+/// proportionally, because it also depends on the requests.
+constexpr double kTypicalLatencyWeight = 0.3;
 
 double seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -35,7 +37,7 @@
   return key;
 }
 
-void PromptAffinity::sent(const RequestFacts& facts, const registry::WorkerId& worker) {
+void PromptAffinity::recordSent(const RequestFacts& facts, const registry::WorkerId& worker) {
   if (facts.promptParts.empty()) {
     return;
   }
@@ -81,10 +83,10 @@
       worse(NoWorkerReason::broken);
     } else if (worker->view.failing) {
       worse(NoWorkerReason::failing);
-      if (standing(*worker) == ShareStanding::open) {
+      if (shareState(*worker) == ShareState::open) {
         candidates.failing.push_back(worker);
       }
-    } else if (const ShareStanding share = standing(*worker); share != ShareStanding::open) {
+    } else if (const ShareState share = shareState(*worker); share != ShareState::open) {
       worse(NoWorkerReason::limited);
       addLimited(worker, share, candidates, selection);
     } else {
@@ -101,9 +103,9 @@
   if (selection.worker != nullptr) {
     selection.expectedWait = expectedWait(service, *selection.worker);
   } else {
-    selection.askable = cheapest(candidates.askable, typical, service, facts, now);
+    selection.requestable = cheapest(candidates.requestable, typical, service, facts, now);
     selection.lastResort = cheapest(candidates.failing, typical, service, facts, now);
-    selection.othersUnlimited =
+    selection.hasUnlimitedWorkers =
         selection.reason == NoWorkerReason::limited && hasUnlimited(service);
   }
   return selection;
@@ -116,19 +118,19 @@
   });
 }
 
-ShareStanding WorkerSelector::standing(const Worker& worker) const {
-  return shares_ == nullptr ? ShareStanding::open : shares_->standing(worker.view.record.id);
+ShareState WorkerSelector::shareState(const Worker& worker) const {
+  return shares_ == nullptr ? ShareState::open : shares_->shareState(worker.view.record.id);
 }
 
-void WorkerSelector::addLimited(const WorkerDirectory::WorkerPtr& worker, ShareStanding standing,
+void WorkerSelector::addLimited(const WorkerDirectory::WorkerPtr& worker, ShareState shareState,
                                 Candidates& candidates, Selection& selection) const {
-  if (standing == ShareStanding::askable) {
-    candidates.askable.push_back(worker);
+  if (shareState == ShareState::requestable) {
+    candidates.requestable.push_back(worker);
     return;
   }
   const base::Duration in = shares_->shareRetryAfter(worker->view.record.id);
-  const bool first = selection.shareIn == base::Duration::zero();
-  selection.shareIn = first ? in : std::min(selection.shareIn, in);
+  const bool first = selection.shareAvailableIn == base::Duration::zero();
+  selection.shareAvailableIn = first ? in : std::min(selection.shareAvailableIn, in);
 }
 
 WorkerDirectory::WorkerPtr WorkerSelector::cheapest(
@@ -148,7 +150,8 @@
   return best;
 }
 
-/// What waits there begins as what runs ends: a slot is free each slot time / slots.
+/// Returns the expected queueing time at a worker. Queued requests begin as running ones end: on
+/// average a slot becomes free each (slot time / number of slots).
 base::Duration WorkerSelector::expectedWait(const std::string& service,
                                             const Worker& worker) const {
   const auto slotTime = slotTimes_.find(service);
@@ -156,17 +159,17 @@
     return base::Duration::zero();
   }
   const std::uint32_t slots = worker.view.record.slots;
-  const std::uint32_t before = worker.runningTogether() - slots + 1;
+  const std::uint32_t before = worker.totalRunning() - slots + 1;
   return *slotTime->second.value() * before / slots;
 }
 
 double WorkerSelector::cost(const Worker& worker, double typicalLatency,
                             const registry::WorkerId* preferred, base::TimePoint now) {
   const double own = worker.latency.value() ? seconds(*worker.latency.value()) : typicalLatency;
-  double cost = kLatencyFloor * typicalLatency + (1 - kLatencyFloor) * own;
+  double cost = kTypicalLatencyWeight * typicalLatency + (1 - kTypicalLatencyWeight) * own;
   const double slots =
       worker.view.record.slots == 0 ? kDefaultSlots : static_cast<double>(worker.view.record.slots);
-  const double running = worker.runningTogether();
+  const double running = worker.totalRunning();
   cost *= 1 + (kFullFactor - 1) * running / slots;
   cost *= 1 + kFailureFactor * worker.failures.value(now);
   if (worker.view.record.zone != options_.zone) {
@@ -179,7 +182,7 @@
     cost *= kKnownPromptFactor;
   }
   cost *= 1 + options_.spread * random_.unit();
-  return worker.view.silent ? cost * kSilentFactor : cost;
+  return worker.view.silent ? cost * kUnresponsiveFactor : cost;
 }
 
 }  // namespace walnut::gateway
--- a/test/gateway/registry_follower_test.cpp
+++ b/test/gateway/registry_follower_test.cpp
@@ -1,4 +1,4 @@
-/// What a gateway believes of what the registry's servers say.
+/// Tests of which messages of the registry's servers change a gateway's state.
 
 #include "gateway/registry_follower.h"
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-struct SentLink : RegistryLink {
+struct RecordingLink : RegistryLink {
   std::vector<base::Endpoint> opens;
   std::vector<registry::MessageBody> sent;
   std::size_t closes = 0;
@@ -33,10 +33,10 @@
 
 TEST_GROUP(RegistryFollowerTest) {
   ManualScheduler scheduler;
-  SentLink link;
+  RecordingLink link;
   runtime::NullEventLog log;
   runtime::NullMetricsSink metrics;
-  PlainDialect dialect;
+  TestDialect dialect;
   RecordingLauncher launcher;
   RegistrySession session{GatewayHarness::sessionOptions(), scheduler, link, log, 1};
   Gateway gateway{GatewayHarness::options(), scheduler, dialect, launcher, session, log, metrics};
@@ -86,7 +86,7 @@
   }
 };
 
-TEST(RegistryFollowerTest, aDocumentOfTheLeaderIsTakenAndAcknowledged) {
+TEST(RegistryFollowerTest, aDocumentFromTheLeaderIsAppliedAndAcknowledged) {
   connect();
   receiveView(4);
   CHECK_FALSE(gateway.ready());
@@ -96,8 +96,8 @@
   CHECK_EQUAL(4, sent<registry::DocumentPartTaken>().at(0).cursor.version);
 }
 
-/// A restarted gateway, before it has found a leader.
-TEST(RegistryFollowerTest, aServerThatIsNotFollowedIsNotBelieved) {
+/// This is the state of a restarted gateway before it has found a leader.
+TEST(RegistryFollowerTest, messagesOfServersNotFollowedAreIgnored) {
   connect();
   receive(connection, whole(4));
   CHECK_EQUAL(0, gateway.documentVersion());
@@ -106,7 +106,7 @@
   CHECK_EQUAL(0, gateway.documentVersion());
 }
 
-TEST(RegistryFollowerTest, anOlderDocumentIsNotTaken) {
+TEST(RegistryFollowerTest, anOlderDocumentIsIgnored) {
   connect();
   receiveView(5);
   receive(connection, whole(5));
@@ -114,8 +114,8 @@
   CHECK_EQUAL(5, gateway.documentVersion());
 }
 
-/// A link that breaks in the middle of a document, or a leader that changes then.
-TEST(RegistryFollowerTest, theNextServerIsToldHowFarTheDocumentHasCome) {
+/// The connection may break in the middle of a document, or the leader may change.
+TEST(RegistryFollowerTest, theNextSubscriptionResumesTheDocument) {
   connect();
   receiveView(4);
   receive(connection, part(4, 0, 10));
@@ -131,7 +131,7 @@
   CHECK_EQUAL(4, gateway.documentVersion());
 }
 
-TEST(RegistryFollowerTest, aDocumentThatCantBeTakenIsAskedForAsAWhole) {
+TEST(RegistryFollowerTest, aRefusedDeltaIsReplacedByTheWholeDocument) {
   connect();
   receiveView(4);
   receive(connection, whole(4));
@@ -145,7 +145,7 @@
   CHECK_EQUAL(0, sent<registry::Subscribe>().back().documentVersion);
 }
 
-TEST(RegistryFollowerTest, aNewerDocumentThatDoesNotComeIsAskedForAgain) {
+TEST(RegistryFollowerTest, aMissingNewerDocumentCausesANewSubscription) {
   connect();
   receiveView(4);
   for (int view = 0; view < 7; ++view) {
@@ -156,7 +156,7 @@
   CHECK_FALSE(session.following());
 }
 
-TEST(RegistryFollowerTest, aDocumentThatComesSlowlyIsNotAskedForAgain) {
+TEST(RegistryFollowerTest, aSlowDocumentCausesNoNewSubscription) {
   connect();
   receiveView(4);
   for (std::size_t offset = 0; offset < 12; offset += 2) {
@@ -167,7 +167,7 @@
   CHECK_EQUAL(0, link.closes);
 }
 
-TEST(RegistryFollowerTest, aPackedViewOfTheFollowedServerIsTaken) {
+TEST(RegistryFollowerTest, aPackedViewOfTheCurrentServerIsApplied) {
   connect();
   registry::ViewUpdate view;
   view.complete = true;
@@ -178,11 +178,11 @@
   CHECK_FALSE(session.following());
   receive(connection, registry::PackedView{packed});
   CHECK_TRUE(session.following());
-  CHECK_TRUE(gateway.behind());
+  CHECK_TRUE(gateway.isBehind());
 }
 
-/// Names of a view refer to those before it: after one that can't be read none is believed.
-TEST(RegistryFollowerTest, aPackedViewThatCantBeReadIsAskedForAnew) {
+/// Names in a packed view refer to previous views, so none can be decoded after an unreadable one.
+TEST(RegistryFollowerTest, anUnreadablePackedViewCausesANewSubscription) {
   connect();
   receiveView(1);
   const std::size_t closes = link.closes;
--- a/test/gateway/request_digest_test.cpp
+++ b/test/gateway/request_digest_test.cpp
@@ -1,4 +1,4 @@
-/// What a request is known by when it comes again under another id.
+/// Tests of the digest that identifies a request sent again under another id.
 
 #include "gateway/request_digest.h"
 
@@ -12,7 +12,7 @@
 using namespace walnut::gateway::testing;
 
 TEST_GROUP(RequestDigestTest) {
-  PlainDialect dialect;
+  TestDialect dialect;
   net::HttpRequest request;
 
   void setup() override {
@@ -28,14 +28,14 @@
   }
 };
 
-TEST(RequestDigestTest, whatChangesFromOneTryToTheNextIsNoPartOfIt) {
+TEST(RequestDigestTest, fieldsThatChangeBetweenAttemptsAreNotDigested) {
   net::HttpRequest again = request;
   again.headers.set("Id", "r2");
   again.headers.set("Deadline-Ms", "3100");
   CHECK(digestOf(dialect.callerOf(request), request) == digestOf(dialect.callerOf(again), again));
 }
 
-TEST(RequestDigestTest, callerMethodPathAndBodyArePartOfIt) {
+TEST(RequestDigestTest, callerMethodPathAndBodyAreDigested) {
   net::HttpRequest other = request;
   other.headers.set("Caller", "two");
   checkDiffers(other);
@@ -50,14 +50,14 @@
   checkDiffers(other);
 }
 
-TEST(RequestDigestTest, bytesThatMoveFromOnePartToTheNextMakeAnother) {
+TEST(RequestDigestTest, bytesMovedBetweenPartsChangeTheDigest) {
   net::HttpRequest other = request;
   other.target = "/a/b?cb";
   other.body = "ody";
   checkDiffers(other);
 }
 
-TEST(RequestDigestTest, aRequestThatWasCutIsNamedTheSameInEachTry) {
+TEST(RequestDigestTest, aCutRequestIsLoggedWithTheSameDigestEachTime) {
   GatewayHarness harness;
   harness.declare(2);
   harness.follow();
