--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -4,50 +4,50 @@
 
 void RequestLifecycle::enqueue(Request& request) {
   request.phaseDeadline = base::kNever;
-  // The engine that has its state may leave: see StateParker.
-  request.moveAt = waitsWithState(request) ? core_.now : base::kNever;
+  // The engine that has its exported state may leave: see StateParker.
+  request.moveAt = waitsWithExportedState(request) ? core_.now : base::kNever;
   core_.requests.arm(request);
   core_.queue.push(request);
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
   core_.dispatchDue.insert(request.caller.target);
 }
 
 void RequestLifecycle::dequeue(Request& request) {
   core_.queue.remove(request);
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
 }
 
-void RequestLifecycle::hold(Request& request, const ReadyReplica& replica,
-                            const resource::Servable& servable) {
+void RequestLifecycle::reserveSlot(Request& request, const ReadyReplica& replica,
+                                   const resource::Servable& servable) {
   request.attempt =
       Attempt{{}, replica.engine, replica.endpoint, replica.id, servable, core_.now, core_.now, {}};
-  core_.selector.placeTaken(replica.engine, replica.id);
+  core_.selector.takeSlot(replica.engine, replica.id);
   core_.requests.attach(request, replica.engine);
   ++core_.targets[request.caller.target].running;
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
 }
 
-void RequestLifecycle::release(Request& request, AttemptEnd end) {
+void RequestLifecycle::releaseAttempt(Request& request, AttemptEnd end) {
   if (!request.attempt.has_value()) {
     return;
   }
   const Attempt& attempt = *request.attempt;
-  const bool handedOver = attempt.id != base::AttemptId{};
-  if (handedOver && end == AttemptEnd::cancelled) {
+  const bool wasDispatched = attempt.id != base::AttemptId{};
+  if (wasDispatched && end == AttemptEnd::cancelled) {
     core_.actions.emplace_back(
         CancelAttempt{attempt.engine, attempt.endpoint, {request.caller.request, attempt.id}});
   }
-  if (handedOver) {
-    // A trial of the breaker that ended without a verdict, by its deadline or its caller, is over.
-    core_.selector.undecided(core_.now, attempt.engine);
+  if (wasDispatched) {
+    // A circuit breaker trial that ended by its deadline or its caller has no outcome; it is over.
+    core_.selector.recordNoOutcome(core_.now, attempt.engine);
   }
-  core_.selector.placeFreed(attempt.engine, attempt.replica);
+  core_.selector.freeSlot(attempt.engine, attempt.replica);
   core_.requests.detach(request, attempt.engine);
   --core_.targets[request.caller.target].running;
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
   core_.dispatchDue.insert(request.caller.target);
   request.attempt.reset();
-  setWantsReplica(request, false);
+  setNeedsReplica(request, false);
   request.moveAt = base::kNever;
 }
 
@@ -57,8 +57,9 @@
     const Move& move = *request.move;
     const engine::CancelRequest cancel{request.caller.request, move.source.id};
     core_.actions.emplace_back(CancelAttempt{move.holder.engine, move.holder.endpoint, cancel});
-    if (move.asked.has_value()) {
-      core_.actions.emplace_back(CancelAttempt{move.asked->engine, move.asked->endpoint, cancel});
+    if (move.pendingHolder.has_value()) {
+      core_.actions.emplace_back(
+          CancelAttempt{move.pendingHolder->engine, move.pendingHolder->endpoint, cancel});
     }
   }
   request.move.reset();
@@ -66,11 +67,11 @@
 
 void RequestLifecycle::dropKeptState(Request& request) {
   Move& move = *request.move;
-  if (move.keeping == Keeping::no) {
+  if (move.localCopy == LocalCopy::no) {
     return;
   }
-  move.keeping = Keeping::no;
-  --core_.keptStates;
+  move.localCopy = LocalCopy::no;
+  --core_.storedStates;
   core_.actions.emplace_back(DropState{request.caller.request, move.source.id});
 }
 
@@ -84,26 +85,26 @@
   core_.requests.arm(request);
 }
 
-void RequestLifecycle::setWantsReplica(Request& request, bool wants) {
-  if (request.wantsReplica == wants) {
+void RequestLifecycle::setNeedsReplica(Request& request, bool needs) {
+  if (request.needsReplica == needs) {
     return;
   }
-  request.wantsReplica = wants;
+  request.needsReplica = needs;
   Target& target = core_.targets[request.caller.target];
-  if (wants) {
-    ++target.moving;
+  if (needs) {
+    ++target.needingReplica;
   } else {
-    --target.moving;
+    --target.needingReplica;
   }
-  core_.demand.changed(request.caller.target);
+  core_.demand.markChanged(request.caller.target);
 }
 
 void RequestLifecycle::remove(Request& request, AttemptEnd end) {
   if (request.machine.state() == RequestState::queued) {
     dequeue(request);
   }
-  release(request, end);
-  setWantsReplica(request, false);
+  releaseAttempt(request, end);
+  setNeedsReplica(request, false);
   dropMove(request);
   request.machine.enter(RequestState::done);
   core_.requests.erase(request);
@@ -111,7 +112,7 @@
 
 void RequestLifecycle::end(Request& request, engine::FinishReason reason) {
   core_.actions.emplace_back(
-      CallerEnded{request.caller.request, request.machine.delivered(), reason, request.cold});
+      CallerEnded{request.caller.request, request.machine.deliveredCount(), reason, request.cold});
   remove(request, AttemptEnd::byEngine);
 }
 
@@ -123,12 +124,12 @@
 
 void RequestLifecycle::abandon(Request& request) { remove(request, AttemptEnd::cancelled); }
 
-bool RequestLifecycle::waitsWithState(const Request& request) {
+bool RequestLifecycle::waitsWithExportedState(const Request& request) {
   return request.machine.state() == RequestState::queued && !request.caller.repeatable &&
          request.move != nullptr && request.move->detached;
 }
 
-bool RequestLifecycle::mayBeSentAgain(const Request& request) {
+bool RequestLifecycle::canBeResent(const Request& request) {
   return request.caller.repeatable || request.machine.executed() == Executed::no;
 }
 
