--- a/src/control/cell_state.cpp
+++ b/src/control/cell_state.cpp
@@ -17,7 +17,7 @@
 using resource::Kind;
 using resource::ReplicaState;
 
-/// Far above what a machine holds.
+/// Largest accepted number of accelerators of an engine, far more than a machine has.
 constexpr std::size_t kMaxAccelerators = 1024;
 /// Largest accepted memory of an accelerator, 16 TiB, so that sums over a region fit in 64 bits.
 constexpr std::uint64_t kMaxAcceleratorBytes = std::uint64_t{1} << 44;
@@ -47,6 +47,7 @@
   return !adapter.servable.adapter.empty() && model == replica.servable;
 }
 
+/// Checks that the replica exists and may change its state.
 /// @param from states that the replica may be in.
 std::optional<Error> checkState(const resource::Replica* replica,
                                 std::initializer_list<ReplicaState> from) {
@@ -137,14 +138,14 @@
   }
   resource::Resource& stored = contents_.resources[key];
   const bool replaced = stored.version != 0;
-  const resource::Resource former = std::exchange(stored, put.resource);
+  const resource::Resource previous = std::exchange(stored, put.resource);
   stored.version = contents_.appliedIndex;
   changes_.emplace_back(protocol::ResourceChanged{stored});
   if (const auto* model = std::get_if<resource::ModelSpec>(&stored.spec)) {
     ledger_.assignBudget(key.name, model->budget);
   }
   if (replaced) {
-    beginUnloadOutdated(former, &stored);
+    beginUnloadOutdated(previous, &stored);
   }
   return {std::nullopt, stored.version, 0};
 }
@@ -154,21 +155,21 @@
     return refuseWrite(std::move(*error), remove.key);
   }
   const auto found = contents_.resources.find(remove.key);
-  const resource::Resource former = std::move(found->second);
+  const resource::Resource previous = std::move(found->second);
   contents_.resources.erase(found);
   changes_.emplace_back(protocol::ResourceDeleted{remove.key});
   if (remove.key.kind == Kind::model) {
     ledger_.assignBudget(remove.key.name, {});
   }
-  beginUnloadOutdated(former, nullptr);
+  beginUnloadOutdated(previous, nullptr);
   return {std::nullopt, contents_.appliedIndex, 0};
 }
 
-void CellState::beginUnloadOutdated(const resource::Resource& former,
+void CellState::beginUnloadOutdated(const resource::Resource& previous,
                                     const resource::Resource* replacement) {
-  for (const base::ReplicaId id : ledger_.replicasOfModel(modelOfWeights(former))) {
+  for (const base::ReplicaId id : ledger_.replicasOfModel(modelOfWeights(previous))) {
     resource::Replica& replica = contents_.replicas.at(id);
-    if (replica.state != ReplicaState::unloading && outdates(former, replacement, replica)) {
+    if (replica.state != ReplicaState::unloading && outdates(previous, replacement, replica)) {
       beginUnload(replica);
     }
   }
--- a/src/control/member_change.cpp
+++ b/src/control/member_change.cpp
@@ -6,7 +6,7 @@
 namespace walnut::control {
 
 namespace {
-/// A learner that has caught up waits at most this long for its promotion.
+/// Longest time that a learner waits for its promotion after it has caught up.
 constexpr base::Duration kPromotionInterval = std::chrono::milliseconds(200);
 }  // namespace
 
@@ -38,10 +38,10 @@
 }
 
 void LearnerPromotion::tick(base::TimePoint now, consensus::Raft& raft) {
-  if (now < nextTryAt_) {
+  if (now < nextAttemptAt_) {
     return;
   }
-  nextTryAt_ = now + kPromotionInterval;
+  nextAttemptAt_ = now + kPromotionInterval;
   const consensus::RaftStatus status = raft.status();
   if (status.commitIndex < status.membershipIndex) {
     return;
--- a/src/control/outlier_detector.h
+++ b/src/control/outlier_detector.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Outlier detection: which workers or engines fail their requests though they report that they are
-/// well, by the outcomes that all gateways or routers report together.
+/// Outlier detection: finds the workers or engines that fail requests although they report that
+/// they are healthy, from the outcomes that all gateways or routers report.
 
 #include <algorithm>
 #include <cmath>
@@ -18,108 +18,120 @@
 
 namespace outlier {
 
-/// Weight of one attempt in the share of failures: three in a row make one that was well
-/// failing, two one that nobody has seen answer. Well below, the stray errors of sound workers,
-/// some in a hundred, would eject several of a hundred workers each minute; well above, a rare
-/// model is asked for in vain several times before its worker is known.
+/// Weight of one attempt in the failure share. With this value, three failures in a row eject a
+/// subject that was healthy, and two eject one that nobody has seen succeed. A much lower weight
+/// (longer memory) needs several more requests to find the failing worker of a rarely requested
+/// model; with a much higher one, the stray errors of healthy workers (a few per cent) would eject
+/// several of a hundred workers each minute.
 inline constexpr double kAttemptWeight = 0.25;
-/// The share of a worker without any outcome: what was never seen to answer is trusted less.
-inline constexpr double kUnknownShare = 0.2;
-inline constexpr double kFailingShare = 0.5;
-/// Beyond the share of the rest of its service.
-inline constexpr double kExcessShare = 0.35;
-/// Below this share a worker counts as well again.
-inline constexpr double kSoundShare = 0.25;
-/// Of a worker that is returned: its next failure ejects it anew.
-inline constexpr double kReturnShare = 0.45;
-/// At most this part of a service's workers: the rest could not carry its load.
+/// Initial failure share of a subject without any outcome: a subject that has not been seen to
+/// succeed is trusted less.
+inline constexpr double kInitialFailureShare = 0.2;
+inline constexpr double kEjectionFailureShare = 0.5;
+/// A subject is ejected only if its failure share exceeds that of the rest of its service by this
+/// much.
+inline constexpr double kMinExcessFailureShare = 0.35;
+/// A subject with a failure share below this value counts as healthy again.
+inline constexpr double kHealthyFailureShare = 0.25;
+/// Failure share given to a subject when its ejection ends: its next failure ejects it again.
+inline constexpr double kReturnFailureShare = 0.45;
+/// At most this fraction of a service's workers is ejected: the remaining ones could not carry the
+/// load of more.
 inline constexpr double kMostFailing = 0.5;
-/// A single reporter may be what fails itself.
-inline constexpr std::size_t kLeastReporters = 2;
+/// Minimum number of reporters that must have seen a subject fail. A single reporter may be the
+/// faulty one itself.
+inline constexpr std::size_t kMinReporters = 2;
 /// @name Ejection time
-/// The first one; it doubles with each ejection, up to the longest. To return a worker that still
-/// fails costs an attempt or two; one that is well again is left without work until then.
+/// The first ejection lasts the base time. The time doubles with each further ejection, up to a
+/// maximum number of doublings. Returning a worker that still fails costs one or two attempts; a
+/// worker that has recovered gets no work until its ejection ends.
 /// @{
 inline constexpr base::Duration kBaseEjectionTime = std::chrono::seconds(4);
-inline constexpr std::uint32_t kMostDoublings = 2;
+inline constexpr std::uint32_t kMaxDoublings = 2;
 /// @}
-/// Outcomes before a silence of this length say nothing of a worker any more.
-inline constexpr base::Duration kOutcomesLast = std::chrono::seconds(30);
+/// Outcomes older than this, without any since, are no longer used to judge a subject.
+inline constexpr base::Duration kOutcomeLifetime = std::chrono::seconds(30);
 
-/// One that has all the work it takes begins another request within a fraction of a second, as
-/// others end: without any answer for this long it hangs.
-inline constexpr base::Duration kFullPatience = std::chrono::seconds(3);
+/// A subject at its concurrency limit that answers nothing for this long is considered hung. A
+/// working one starts another request within a fraction of a second, as others end.
+inline constexpr base::Duration kHangTimeout = std::chrono::seconds(3);
 
 }  // namespace outlier
 
-/// Kept by a leader; empty at the start of its leadership. Reporters tell the outcomes of their
-/// attempts; each alone sees too few of one subject.
+/// Tracks the failure share of each subject and decides which subjects to eject. The leader owns
+/// it; it is empty at the start of each leadership. Each reporter sends the outcomes of its own
+/// attempts, because a single reporter sees too few attempts per subject.
 ///
-/// A subject is failing, and ejected, once half or more of its latest attempts failed, clearly more
-/// than of the others of its group: where all fail alike, none of them is worth avoiding. One
-/// reporter alone ejects nobody, as it may be what fails. An ejection ends after a while, so that
-/// the subject is tried again, or as soon as attempts that were made all the same succeed.
+/// A subject counts as failing, and is ejected, once at least half of its latest attempts failed
+/// and clearly more than those of the others of its group: if all fail alike, avoiding one of them
+/// gains nothing. A single reporter, unless it is the only one, never causes an ejection, because
+/// the reporter itself may be faulty. An ejection ends after its ejection time, so that the subject
+/// gets requests again, or as soon as attempts that were made in spite of it succeed.
 ///
 /// @tparam Subject id of a worker or an engine.
-/// @tparam Reporter id of who makes attempts.
+/// @tparam Reporter id of the process that makes the attempts.
 template <class Subject, class Reporter>
 class OutlierDetector {
  public:
-  /// Attempts of one reporter at one subject since its last report.
+  /// Outcomes of the attempts of one reporter at one subject since its last report.
   struct Outcomes {
     Subject subject;
     std::uint32_t answered = 0;
     std::uint32_t failed = 0;
-    /// Failed while the subject had all the work it takes: counts only if it answers nobody.
+    /// Attempts that failed while the subject was at its concurrency limit. They count as failures
+    /// only if the subject answers nobody.
     std::uint32_t stalled = 0;
   };
-  /// A change of what is held of a subject, with what decided it.
+  /// A subject was ejected or returned, with the figures that led to the decision.
   struct Change {
     Subject subject;
     bool failing = false;
-    double share = 0;             ///< Of its latest attempts, those that failed.
-    double restShare = 0;         ///< The same of the others of its group.
-    std::uint32_t reporters = 0;  ///< That have seen it fail.
-    base::Duration heldFor{0};    ///< How long it was as before; 0: always.
+    double share = 0;             ///< Failure share of the subject.
+    double restShare = 0;         ///< Average failure share of the others of its group.
+    std::uint32_t reporters = 0;  ///< Number of reporters that have seen it fail.
+    /// Time since the previous ejection or return; 0 if there was none.
+    base::Duration heldFor{0};
   };
 
   void report(Reporter reporter, const Outcomes& outcomes, base::TimePoint now);
-  /// @return true if a review may eject or return a subject.
+  /// @return true if a review may eject or return a subject, so that one is due.
   bool reviewDue(base::TimePoint now) const;
-  /// @param groups of subjects that could do each other's work. @param reporters how many there
-  /// are.
+  /// Ejects and returns subjects.
+  /// @param groups subjects that can serve the same requests, by group name.
+  /// @param reporters number of known reporters.
   void review(const std::map<std::string_view, std::vector<Subject>>& groups, std::size_t reporters,
               base::TimePoint now);
-  /// Forgets all subjects for which the predicate holds.
+  /// Removes all subjects for which the predicate is true.
   template <class Predicate>
   void forgetIf(Predicate predicate) {
     std::erase_if(records_, [&predicate](const auto& entry) { return predicate(entry.first); });
   }
 
   bool failing(const Subject& subject) const;
-  /// @return changes since the last call.
+  /// @return ejections and returns since the last call.
   std::vector<Change> takeChanges() { return std::exchange(changes_, {}); }
 
  private:
   struct Record {
     double share = 0;
-    base::TimePoint reportedAt;           ///< Of the latest outcomes; long ago: there were none.
-    base::TimePoint answeredAt;           ///< Of the latest success, or since it is known.
-    std::set<Reporter> failureReporters;  ///< That have seen it fail.
+    /// Time of the latest report with attempts; zero if there was none.
+    base::TimePoint reportedAt;
+    base::TimePoint answeredAt;  ///< Time of the latest success; without one, of the first report.
+    std::set<Reporter> failureReporters;  ///< Reporters that have seen it fail.
     bool failing = false;
-    base::TimePoint changedAt;     ///< When it was ejected or returned; zero: never.
-    base::TimePoint ejectedUntil;  ///< When one that fails is tried again.
-    std::uint32_t ejections = 0;   ///< Verdicts since it last answered well.
+    base::TimePoint changedAt;     ///< Time of the last ejection or return; zero if there was none.
+    base::TimePoint ejectedUntil;  ///< End of the current ejection.
+    std::uint32_t ejections = 0;   ///< Ejections since it was last healthy.
   };
 
   void reviewGroup(const std::vector<Subject>& subjects, std::size_t reporters,
                    base::TimePoint now);
   void endEjection(const Subject& subject, Record& record, base::TimePoint now);
   void eject(const Subject& subject, Record& record, double restShare, base::TimePoint now);
-  void note(const Subject& subject, Record& record, double restShare, base::TimePoint now);
+  void recordChange(const Subject& subject, Record& record, double restShare, base::TimePoint now);
 
-  std::map<Subject, Record> records_;  ///< Of those with outcomes.
-  bool unreviewed_ = false;            ///< Outcomes came that may eject or return one.
+  std::map<Subject, Record> records_;  ///< Subjects with reported outcomes.
+  bool needsReview_ = false;  ///< Outcomes have arrived that may eject or return a subject.
   std::vector<Change> changes_;
 };
 
@@ -131,33 +143,33 @@
   if (added || outcomes.answered > 0) {
     record.answeredAt = now;
   }
-  const bool answersNobody = now > record.answeredAt + outlier::kFullPatience;
-  const std::uint32_t failures = outcomes.failed + (answersNobody ? outcomes.stalled : 0);
+  const bool isHung = now > record.answeredAt + outlier::kHangTimeout;
+  const std::uint32_t failures = outcomes.failed + (isHung ? outcomes.stalled : 0);
   const std::uint32_t attempts = outcomes.answered + failures;
   if (attempts == 0) {
     return;
   }
-  if (now > record.reportedAt + outlier::kOutcomesLast) {
-    record.share = outlier::kUnknownShare;
+  if (now > record.reportedAt + outlier::kOutcomeLifetime) {
+    record.share = outlier::kInitialFailureShare;
     record.failureReporters.clear();
   }
   record.reportedAt = now;
   const double failed = static_cast<double>(failures) / attempts;
-  const double former = std::pow(1 - outlier::kAttemptWeight, attempts);
-  record.share = former * record.share + (1 - former) * failed;
+  const double retainedWeight = std::pow(1 - outlier::kAttemptWeight, attempts);
+  record.share = retainedWeight * record.share + (1 - retainedWeight) * failed;
   if (failures > 0) {
     record.failureReporters.insert(reporter);
   }
-  if (record.share < outlier::kSoundShare) {
+  if (record.share < outlier::kHealthyFailureShare) {
     record.failureReporters.clear();
     record.ejections = record.failing ? record.ejections : 0;
   }
-  unreviewed_ = unreviewed_ || record.failing || record.share >= outlier::kFailingShare;
+  needsReview_ = needsReview_ || record.failing || record.share >= outlier::kEjectionFailureShare;
 }
 
 template <class Subject, class Reporter>
 bool OutlierDetector<Subject, Reporter>::reviewDue(base::TimePoint now) const {
-  return unreviewed_ || std::any_of(records_.begin(), records_.end(), [now](const auto& entry) {
+  return needsReview_ || std::any_of(records_.begin(), records_.end(), [now](const auto& entry) {
            return entry.second.failing && now >= entry.second.ejectedUntil;
          });
 }
@@ -166,7 +178,7 @@
 void OutlierDetector<Subject, Reporter>::review(
     const std::map<std::string_view, std::vector<Subject>>& groups, std::size_t reporters,
     base::TimePoint now) {
-  unreviewed_ = false;
+  needsReview_ = false;
   for (const auto& [group, subjects] : groups) {
     reviewGroup(subjects, reporters, now);
   }
@@ -175,7 +187,7 @@
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::reviewGroup(const std::vector<Subject>& subjects,
                                                      std::size_t reporters, base::TimePoint now) {
-  std::vector<std::pair<Subject, Record*>> sound;
+  std::vector<std::pair<Subject, Record*>> healthy;
   double shares = 0;
   std::size_t failing = 0;
   for (const Subject& subject : subjects) {
@@ -190,28 +202,30 @@
     if (record.failing) {
       ++failing;
     } else {
-      sound.emplace_back(subject, &record);
+      healthy.emplace_back(subject, &record);
       shares += record.share;
     }
   }
-  // The worst first: without it, the next one is compared with a better rest.
-  std::sort(sound.begin(), sound.end(), [](const auto& left, const auto& right) {
+  // Highest failure share first: once it is ejected, the next one is compared with a healthier
+  // rest.
+  std::sort(healthy.begin(), healthy.end(), [](const auto& left, const auto& right) {
     return left.second->share > right.second->share;
   });
-  const std::size_t failureReporters = std::min(outlier::kLeastReporters, reporters);
-  const double most = outlier::kMostFailing * static_cast<double>(subjects.size());
-  std::size_t rest = sound.size();
-  for (const auto& [subject, record] : sound) {
-    if (record->share < outlier::kFailingShare || static_cast<double>(failing + 1) > most) {
+  const std::size_t minReporters = std::min(outlier::kMinReporters, reporters);
+  const double maxFailing = outlier::kMostFailing * static_cast<double>(subjects.size());
+  std::size_t healthyCount = healthy.size();
+  for (const auto& [subject, record] : healthy) {
+    if (record->share < outlier::kEjectionFailureShare ||
+        static_cast<double>(failing + 1) > maxFailing) {
       return;
     }
     const double restShare =
-        rest <= 1 ? 0 : (shares - record->share) / static_cast<double>(rest - 1);
-    if (record->share >= restShare + outlier::kExcessShare &&
-        record->failureReporters.size() >= failureReporters) {
+        healthyCount <= 1 ? 0 : (shares - record->share) / static_cast<double>(healthyCount - 1);
+    if (record->share >= restShare + outlier::kMinExcessFailureShare &&
+        record->failureReporters.size() >= minReporters) {
       eject(subject, *record, restShare, now);
       shares -= record->share;
-      --rest;
+      --healthyCount;
       ++failing;
     }
   }
@@ -220,32 +234,32 @@
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::endEjection(const Subject& subject, Record& record,
                                                      base::TimePoint now) {
-  const bool answers = record.share < outlier::kSoundShare;
-  if (!answers && now < record.ejectedUntil) {
+  const bool isHealthy = record.share < outlier::kHealthyFailureShare;
+  if (!isHealthy && now < record.ejectedUntil) {
     return;
   }
   record.failing = false;
-  if (answers) {
+  if (isHealthy) {
     record.ejections = 0;
   } else {
-    record.share = outlier::kReturnShare;
+    record.share = outlier::kReturnFailureShare;
   }
-  note(subject, record, 0, now);
+  recordChange(subject, record, 0, now);
 }
 
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::eject(const Subject& subject, Record& record,
                                                double restShare, base::TimePoint now) {
   record.failing = true;
-  record.ejectedUntil = now + outlier::kBaseEjectionTime *
-                                  (1U << std::min(record.ejections, outlier::kMostDoublings));
+  record.ejectedUntil =
+      now + outlier::kBaseEjectionTime * (1U << std::min(record.ejections, outlier::kMaxDoublings));
   ++record.ejections;
-  note(subject, record, restShare, now);
+  recordChange(subject, record, restShare, now);
 }
 
 template <class Subject, class Reporter>
-void OutlierDetector<Subject, Reporter>::note(const Subject& subject, Record& record,
-                                              double restShare, base::TimePoint now) {
+void OutlierDetector<Subject, Reporter>::recordChange(const Subject& subject, Record& record,
+                                                      double restShare, base::TimePoint now) {
   const bool first = record.changedAt == base::TimePoint();
   const base::TimePoint since = std::exchange(record.changedAt, now);
   changes_.push_back({subject, record.failing, record.share, restShare,
