--- a/src/registry/leader_limits.cpp
+++ b/src/registry/leader_limits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of a leader's duties that shares out what workers with a limit take.
+/// The part of the leader's tasks that grants gateways shares of the request limits of workers.
 
 #include <utility>
 
@@ -32,7 +32,7 @@
     log_.write(change.perSecond ? LogEvent::workerLimited : LogEvent::workerLimitEnded,
                {{"worker", change.worker.value},
                 {"limit", limitText(change.perSecond)},
-                {"former", limitText(change.former)},
+                {"former", limitText(change.previous)},
                 {"connection", gateway.value},
                 {"age-millis", millisOf(change.age)}});
   }
