--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxResponseHeadBytes = 64U << 10U;
 constexpr int kFirstFinalStatus = 200;
 
-/// @return the `timeout` parameter of a Keep-Alive field.
+/// @return the `timeout` parameter of the Keep-Alive field, if present and valid.
 std::optional<base::Duration> parseKeepAlive(const HeaderList& headers) {
   const std::string* text = headers.find("Keep-Alive");
   if (text == nullptr) {
@@ -43,7 +43,7 @@
 void ClientConnection::send(const HttpRequest& request, ResponseCallbacks& callbacks) {
   callbacks_ = &callbacks;
   reusable_ = false;
-  passOver_ = false;
+  discardResponse_ = false;
   if (request.method == "HEAD") {
     parser_.expectNoBody();
   }
@@ -66,15 +66,15 @@
     bytes.remove_prefix(taken.value());
   }
   if (!bytes.empty() && !connection_.closed()) {
-    // Bytes that belong to no request.
+    // The server sent bytes that belong to no request.
     reusable_ = false;
-    idleEnded();
+    handleIdleEnd();
   }
 }
 
 void ClientConnection::onEndOfStream() {
   if (callbacks_ == nullptr) {
-    idleEnded();
+    handleIdleEnd();
     return;
   }
   const auto ended = parser_.feedEnd();
@@ -87,7 +87,7 @@
 
 void ClientConnection::onEnd(const Error& error) {
   if (callbacks_ == nullptr) {
-    idleEnded();
+    handleIdleEnd();
     return;
   }
   if (error.code == ErrorCode::connectFailed) {
@@ -106,22 +106,23 @@
   keepAlive_ = head.keepAlive;
   framed_ = head.framed;
   keepAliveTimeout_ = parseKeepAlive(head.headers);
-  passOver_ = !callbacks_->onResponseHead(std::move(head));
-  passedOver_ = passedOver_ || passOver_;
+  discardResponse_ = !callbacks_->onResponseHead(std::move(head));
+  hasDiscarded_ = hasDiscarded_ || discardResponse_;
 }
 
 void ClientConnection::onBody(std::string_view bytes) {
-  if (!passOver_ && !interim_ && callbacks_ != nullptr) {
+  if (!discardResponse_ && !interim_ && callbacks_ != nullptr) {
     callbacks_->onResponseBody(bytes);
   }
 }
 
 void ClientConnection::onComplete() {
-  if (std::exchange(interim_, false) || std::exchange(passOver_, false) || callbacks_ == nullptr) {
+  if (std::exchange(interim_, false) || std::exchange(discardResponse_, false) ||
+      callbacks_ == nullptr) {
     return;
   }
   const bool writtenWhole = connection_.bufferedBytes() == 0;
-  reusable_ = keepAlive_ && framed_ && writtenWhole && !passedOver_;
+  reusable_ = keepAlive_ && framed_ && writtenWhole && !hasDiscarded_;
   ResponseCallbacks* const callbacks = std::exchange(callbacks_, nullptr);
   callbacks->onResponseComplete();
 }
@@ -134,7 +135,7 @@
   }
 }
 
-void ClientConnection::idleEnded() {
+void ClientConnection::handleIdleEnd() {
   connection_.close();
   if (onIdleEnd_) {
     std::exchange(onIdleEnd_, nullptr)();
