--- a/src/gateway/worker_limits.h
+++ b/src/gateway/worker_limits.h
@@ -36,7 +36,7 @@
   base::TimePoint next_;
 };
 
-/// The rate limits of workers at one gateway: the counterpart of registry/worker_limit_book.h. A
+/// The rate limits of workers at one gateway: the counterpart of registry/worker_limit_tracker.h. A
 /// worker's limit is known from its own answers and from the leader, whose value replaces that of
 /// the answers.
 ///
--- a/src/registry/demand_book.h
+++ b/src/registry/demand_book.h
@@ -40,7 +40,7 @@
 };
 
 /// A model or adapter whose requests have become unserved, or are served again.
-struct AnswerChange {
+struct ServedChange {
   ModelKey key;
   bool answered = false;
   base::Duration lasted{0};    ///< Time since the first unserved request.
@@ -78,7 +78,7 @@
   const std::map<ModelKey, std::uint32_t>& waiting() const { return waiting_; }
   /// @return the changes since the last call. Models are reported as unserved only once they have
   /// been so for some time.
-  std::vector<AnswerChange> takeAnswerChanges() { return std::exchange(answerChanges_, {}); }
+  std::vector<ServedChange> takeServedChanges() { return std::exchange(answerChanges_, {}); }
 
  private:
   struct Gateway {
@@ -117,7 +117,7 @@
   std::map<ModelKey, std::uint32_t> modelWaiting_;  ///< By model, adapters included.
   std::map<WorkerId, RunningByModel> running_;
   std::map<WorkerId, std::uint32_t> unreachable_;
-  std::vector<AnswerChange> answerChanges_;
+  std::vector<ServedChange> answerChanges_;
 };
 
 }  // namespace walnut::registry
--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -29,7 +29,7 @@
 
 LeaderDuties::LeaderDuties(const RegistryOptions& options, DocumentCache& documents,
                            const CellState& state, consensus::Term term, base::ServerId self,
-                           runtime::EventLog& log, base::TimePoint now, const OrderTurns& turns,
+                           runtime::EventLog& log, base::TimePoint now, const OrderTimes& turns,
                            std::optional<base::TimePoint> lastTakeoverAt,
                            const RegistrationTimes* registrations)
     : options_(options),
@@ -75,7 +75,7 @@
   if (!status.takeHeartbeat(heartbeat, now)) {
     return false;
   }
-  noteChanged(id);
+  markChanged(id);
   handleContact(id, status, wasSilent, now);
   logEndedOrder(id, status, now);
   planSoon_ = true;
@@ -112,7 +112,7 @@
                                  base::TimePoint now) {
   crashes_.recordContact(id);
   if (wasSilent && !status.silent) {
-    noteChanged(id);
+    markChanged(id);
     planSoon_ = true;
     scheduleSilenceCheck(id, status, now + heartbeatTime(options_.overdueHeartbeats));
     log_.write(LogEvent::workerHeard, {{"worker", id.value}});
@@ -191,7 +191,7 @@
   planSoon_ = true;
 }
 
-void LeaderDuties::noteChanged(const WorkerId& id) {
+void LeaderDuties::markChanged(const WorkerId& id) {
   changed_.insert(id);
   unsavedHoldings_.insert(id);
 }
@@ -212,7 +212,7 @@
       if (!std::exchange(status.registered, true)) {
         markCold(*state_.findWorker(id), status, now);
       }
-      noteChanged(id);
+      markChanged(id);
     }
   }
   removeWorkers(gone, now);
@@ -223,7 +223,7 @@
   zoneChanges_ = state_.zoneChanges();
   for (const auto& [id, record] : state_.workers()) {
     statusOf(id, now).registered = true;
-    noteChanged(id);
+    markChanged(id);
   }
   std::set<WorkerId> gone;
   for (const auto& [id, status] : workers_) {
@@ -246,7 +246,7 @@
   for (const WorkerId& id : gone) {
     const auto found = workers_.find(id);
     if (found != workers_.end()) {
-      noteEnded(id, found->second, now);
+      recordWorkerEnd(id, found->second, now);
       workers_.erase(found);
     }
     publisher_.removeWorker(id);
@@ -310,7 +310,7 @@
     if (ordersAllowed(now)) {
       refreshReports(now);
       plan(now);
-      askOverdueWorkers(now);
+      requestOverdueReports(now);
       recordAllWorkers(now);
     }
   }
@@ -407,7 +407,7 @@
 
 void LeaderDuties::refreshViews(base::TimePoint now) {
   while (!changesAt_.empty() && changesAt_.begin()->first <= now) {
-    noteChanged(changesAt_.begin()->second);
+    markChanged(changesAt_.begin()->second);
     changesAt_.erase(changesAt_.begin());
   }
   for (std::size_t count = 0; !changed_.empty() && count < kMaxViewsRefreshed; ++count) {
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -18,14 +18,14 @@
 #include "registry/document_sender.h"
 #include "registry/late_model_announcer.h"
 #include "registry/load_backoff.h"
-#include "registry/order_turns.h"
+#include "registry/order_times.h"
 #include "registry/placement.h"
 #include "registry/planning_pool.h"
 #include "registry/quota_ledger.h"
 #include "registry/registration_times.h"
 #include "registry/view_publisher.h"
 #include "registry/worker_index.h"
-#include "registry/worker_limit_book.h"
+#include "registry/worker_limit_tracker.h"
 #include "registry/worker_outlier_detector.h"
 #include "registry/worker_status.h"
 #include "walnut/registry/registry.h"
@@ -42,7 +42,7 @@
   /// @param lastTakeoverAt when this process last saw another server take over the order lease.
   LeaderDuties(const RegistryOptions& options, DocumentCache& documents, const CellState& state,
                consensus::Term term, base::ServerId self, runtime::EventLog& log,
-               base::TimePoint now, const OrderTurns& turns,
+               base::TimePoint now, const OrderTimes& turns,
                std::optional<base::TimePoint> lastTakeoverAt = std::nullopt,
                const RegistrationTimes* registrations = nullptr);
 
@@ -65,8 +65,8 @@
   /// from the same quotas.
   void quotaRequested(protocol::ConnectionId gateway, const QuotaRequest& request,
                       base::TimePoint now);
-  void limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
-                      base::TimePoint now);
+  void handleLimitReport(protocol::ConnectionId gateway, const LimitReport& report,
+                         base::TimePoint now);
   /// To be called only while this server holds a valid leader lease, as with quotas.
   void sharesAsked(protocol::ConnectionId gateway, const ShareRequest& request,
                    base::TimePoint now);
@@ -102,7 +102,7 @@
   void applyWorkerChanges(base::TimePoint now);
   void refreshAllWorkers(base::TimePoint now);
   void removeWorkers(const std::set<WorkerId>& gone, base::TimePoint now);
-  void noteChanged(const WorkerId& id);
+  void markChanged(const WorkerId& id);
   void detectSuspension(base::TimePoint now);
   void checkOverdueWorkers(base::TimePoint now);
   void handleContact(const WorkerId& id, WorkerStatus& status, bool wasSilent, base::TimePoint now);
@@ -152,7 +152,7 @@
   std::size_t plannedWorkers() const;
   PlacementWorker placementWorker(const WorkerRecord& record, const WorkerStatus& status,
                                   base::TimePoint now) const;
-  void carryOut(const std::vector<PlacementStep>& steps, base::TimePoint now);
+  void issueOrders(const std::vector<PlacementStep>& steps, base::TimePoint now);
   void record(const std::vector<PlacementStep>& steps, base::TimePoint now);
   void recordAllWorkers(base::TimePoint now);
   void cancelUnrecorded(base::TimePoint now);
@@ -160,7 +160,7 @@
   void send(const PlacementStep& step, base::TimePoint now);
   bool mayOrder(const WorkerId& worker, base::TimePoint now) const;
   void requestReport(const WorkerRecord& record, WorkerStatus& status);
-  void askOverdueWorkers(base::TimePoint now);
+  void requestOverdueReports(base::TimePoint now);
   void refreshReports(base::TimePoint now);
   base::TimePoint takeoverAllowedAt(std::optional<base::TimePoint> lastTakeoverAt) const;
   bool ordersAllowed(base::TimePoint now) const;
@@ -171,8 +171,8 @@
   void countForeignLoads(const catalog::Service& service, StoreScheduler& store);
   StoreScheduler& storeOf(const std::string& service);
   FormerLoads formerLoads() const;
-  void forgetLoad(const WorkerRecord& record);
-  void noteEnded(const WorkerId& id, const WorkerStatus& status, base::TimePoint now);
+  void abandonStoreLoad(const WorkerRecord& record);
+  void recordWorkerEnd(const WorkerId& id, const WorkerStatus& status, base::TimePoint now);
   void logEndedOrder(const WorkerId& id, WorkerStatus& status, base::TimePoint now);
   WorkerStatus& statusOf(const WorkerId& id, base::TimePoint now);
 
@@ -183,7 +183,7 @@
   const base::ServerId self_;
   runtime::EventLog& log_;
   const base::TimePoint since_;
-  const OrderTurns& turns_;
+  const OrderTimes& turns_;
   const RegistrationTimes* const registrations_;  ///< Null: none are known.
   /// Earliest takeover of the order lease, if another server held it last.
   const base::TimePoint takeoverAllowedAt_;
@@ -198,7 +198,7 @@
   WorkerId poolStart_;  ///< Start of the planning pool: see choosePlanningPool.
   DemandBook demand_;
   QuotaLedger quotas_;
-  WorkerLimitBook limits_;
+  WorkerLimitTracker limits_;
   WorkerOutlierDetector outliers_;
   CrashMonitor crashes_;
   ViewPublisher publisher_;
--- a/src/registry/leader_limits.cpp
+++ b/src/registry/leader_limits.cpp
@@ -18,16 +18,16 @@
 
 }  // namespace
 
-void LeaderDuties::limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
-                                  base::TimePoint now) {
+void LeaderDuties::handleLimitReport(protocol::ConnectionId gateway, const LimitReport& report,
+                                     base::TimePoint now) {
   LimitReport known;
   for (const LimitSighting& sighting : report.sightings) {
     if (state_.findWorker(sighting.worker) != nullptr) {
       known.sightings.push_back(sighting);
     }
   }
-  for (const WorkerLimitBook::Change& change : limits_.report(known, now)) {
-    noteChanged(change.worker);
+  for (const WorkerLimitTracker::Change& change : limits_.report(known, now)) {
+    markChanged(change.worker);
     planSoon_ = true;
     log_.write(change.perSecond ? LogEvent::workerLimited : LogEvent::workerLimitEnded,
                {{"worker", change.worker.value},
--- a/src/registry/leader_order_lease.cpp
+++ b/src/registry/leader_order_lease.cpp
@@ -32,7 +32,7 @@
   if (!options_.ordersFenced) {
     return since_;
   }
-  const base::Duration lease = options_.orderLease + kTurnMargin;
+  const base::Duration lease = options_.orderLease + kOrderLeaseMargin;
   const bool isRecent = lastTakeoverAt && since_ < *lastTakeoverAt + lease;
   return since_ + (isRecent ? lease : kFencedTakeoverDelay);
 }
@@ -61,9 +61,9 @@
 }
 
 /// A previous leader sends orders only under its lease, which has ended by `since_`; its last
-/// orders may still be in flight for `kTurnMargin`.
+/// orders may still be in flight for `kOrderLeaseMargin`.
 FormerLoads LeaderDuties::formerLoads() const {
-  return isFirstHolder_ ? FormerLoads{std::nullopt} : FormerLoads{since_ + kTurnMargin};
+  return isFirstHolder_ ? FormerLoads{std::nullopt} : FormerLoads{since_ + kOrderLeaseMargin};
 }
 
 /// Without fencing, orders are committed to the log before they are sent, so that the next leader
@@ -98,7 +98,8 @@
 /// Once all orders of previous holders have expired, records all workers as last ordered by this
 /// server, so that it need not wait for any of them if it leads again after a restart.
 void LeaderDuties::recordAllWorkers(base::TimePoint now) {
-  const base::TimePoint due = since_ + options_.orderLease + kTurnMargin + kRecordedOrderLifetime;
+  const base::TimePoint due =
+      since_ + options_.orderLease + kOrderLeaseMargin + kRecordedOrderLifetime;
   if (options_.ordersFenced || allWorkersRecorded_ || now < due) {
     return;
   }
--- a/src/registry/leader_orders.cpp
+++ b/src/registry/leader_orders.cpp
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-void LeaderDuties::carryOut(const std::vector<PlacementStep>& steps, base::TimePoint now) {
+void LeaderDuties::issueOrders(const std::vector<PlacementStep>& steps, base::TimePoint now) {
   if (steps.empty()) {
     return;
   }
@@ -82,7 +82,7 @@
   planSoon_ = true;
   const WorkerRecord* record = state_.findWorker(step.worker);
   if (step.fromStore && record != nullptr) {
-    forgetLoad(*record);
+    abandonStoreLoad(*record);
   }
   log_.write(LogEvent::orderCancelled, {{"worker", step.worker.value},
                                         {"operation", operationName(step.operation)},
@@ -155,7 +155,7 @@
   }
 }
 
-void LeaderDuties::askOverdueWorkers(base::TimePoint now) {
+void LeaderDuties::requestOverdueReports(base::TimePoint now) {
   for (auto next = busyWorkers_.begin(); next != busyWorkers_.end();) {
     const WorkerRecord* record = state_.findWorker(*next);
     WorkerStatus& status = statusOf(*next, now);
@@ -192,7 +192,7 @@
 }
 
 /// Removes the worker's load from the store's scheduler, since its end will not be reported.
-void LeaderDuties::forgetLoad(const WorkerRecord& record) {
+void LeaderDuties::abandonStoreLoad(const WorkerRecord& record) {
   const auto store = stores_.find(record.service);
   if (store != stores_.end()) {
     store->second.recordAbandoned(record.id);
@@ -201,7 +201,8 @@
 
 /// Records that a worker ended during a load, which may have been the cause. The load no longer
 /// counts as in progress: otherwise it would seem later and later, and the store overloaded.
-void LeaderDuties::noteEnded(const WorkerId& id, const WorkerStatus& status, base::TimePoint now) {
+void LeaderDuties::recordWorkerEnd(const WorkerId& id, const WorkerStatus& status,
+                                   base::TimePoint now) {
   if (!status.unfinishedLoad) {
     return;
   }
@@ -236,14 +237,14 @@
   WorkerStatus& status = statusOf(step.worker, now);
   status.sentOrder.reset();
   status.orderFinishedAt = now;
-  noteChanged(step.worker);
+  markChanged(step.worker);
   changesAt_.emplace(now + options_.adapterSettleTime, step.worker);
   planSoon_ = true;
   const bool isModelOrder = step.adapter.empty();
   const bool mayTakeEffect =
       finished.outcome == OrderOutcome::accepted || finished.outcome == OrderOutcome::unclear;
   if (step.fromStore && !mayTakeEffect) {
-    forgetLoad(*record);
+    abandonStoreLoad(*record);
   }
   if (!mayTakeEffect && isModelOrder) {
     status.unfinishedLoad.reset();
@@ -328,7 +329,7 @@
               {"busy", std::string_view(report.orderUnderWay ? "yes" : "no")}});
   status.takeReport(report, now);
   logEndedOrder(finished.worker, status, now);
-  noteChanged(finished.worker);
+  markChanged(finished.worker);
   if (!status.reportFresh) {
     status.orderAgainAt = now + kRefusedPause;
   }
--- a/src/registry/leader_plans.cpp
+++ b/src/registry/leader_plans.cpp
@@ -171,7 +171,7 @@
       policy.plan(*service.engine, workers, demand_, store, now,
                   backoffs_[service.name].postponed(now), outside);
   logDecisions(policy, store, now);
-  carryOut(steps, now);
+  issueOrders(steps, now);
 }
 
 StoreScheduler& LeaderDuties::storeOf(const std::string& service) {
--- a/src/registry/leader_worker_health.cpp
+++ b/src/registry/leader_worker_health.cpp
@@ -176,8 +176,8 @@
   const base::Duration silence = now - lastContact(status);
   if (!status.silent && isUnresponsive(id, status, now)) {
     status.silent = true;
-    forgetLoad(*state_.findWorker(id));
-    noteChanged(id);
+    abandonStoreLoad(*state_.findWorker(id));
+    markChanged(id);
     log_.write(LogEvent::workerSilent, {{"worker", id.value}});
   }
   if (silence > options_.workerForgottenAfter) {
@@ -200,7 +200,7 @@
   }
   outliers_.review(services, publisher_.gatewayCount(), now);
   for (const WorkerOutlierDetector::Change& change : outliers_.takeChanges()) {
-    noteChanged(change.subject);
+    markChanged(change.subject);
     planSoon_ = true;
     log_.write(change.failing ? LogEvent::workerFailing : LogEvent::workerTried,
                {{"worker", change.subject.value},
@@ -212,7 +212,7 @@
 }
 
 void LeaderDuties::logAnswerChanges() {
-  for (const AnswerChange& change : demand_.takeAnswerChanges()) {
+  for (const ServedChange& change : demand_.takeServedChanges()) {
     log_.write(change.answered ? LogEvent::modelAnswered : LogEvent::modelUnanswered,
                {{"service", change.key.service},
                 {"model", change.key.model},
@@ -236,7 +236,7 @@
 LateModels LeaderDuties::lateModels() const {
   LateModels late;
   for (const auto& [service, policy] : policies_) {
-    for (const ModelOutlook& outlook : policy.outlook()) {
+    for (const LateModelForecast& outlook : policy.outlook()) {
       late.models.push_back({service, outlook.model, outlook.availableIn});
     }
   }
--- a/src/registry/order_turns.cpp
+++ b/src/registry/order_times.cpp
@@ -1,4 +1,4 @@
-#include "registry/order_turns.h"
+#include "registry/order_times.h"
 
 #include <algorithm>
 
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-void OrderTurns::ordered(const std::vector<WorkerId>& workers, base::TimePoint now) {
+void OrderTimes::ordered(const std::vector<WorkerId>& workers, base::TimePoint now) {
   for (const WorkerId& worker : workers) {
     orderedAt_[worker] = now;
   }
 }
 
-void OrderTurns::succeeded(const WorkerId& former, const WorkerId& present) {
+void OrderTimes::succeeded(const WorkerId& former, const WorkerId& present) {
   const auto found = orderedAt_.find(former);
   if (found != orderedAt_.end()) {
     orderedAt_[present] = found->second;
@@ -34,12 +34,12 @@
   }
 }
 
-base::TimePoint OrderTurns::allowedAt(const WorkerId& worker, base::TimePoint electedAt,
+base::TimePoint OrderTimes::allowedAt(const WorkerId& worker, base::TimePoint electedAt,
                                       base::Duration lease) const {
   const auto found = orderedAt_.find(worker);
   const base::TimePoint orderedAt =
       found == orderedAt_.end() ? lastMissedOrderAt_ : std::max(found->second, lastMissedOrderAt_);
-  return std::min(orderedAt + kRecordedOrderLifetime, electedAt) + lease + kTurnMargin;
+  return std::min(orderedAt + kRecordedOrderLifetime, electedAt) + lease + kOrderLeaseMargin;
 }
 
 base::ServerId recoveredOrderHolder(const consensus::RecoveredState& recovered) {
--- a/src/registry/order_turns.h
+++ b/src/registry/order_times.h
@@ -13,19 +13,19 @@
 namespace walnut::registry {
 
 /// Margin beyond the order lease of a previous holder, for clock drift and network delay.
-constexpr base::Duration kTurnMargin = std::chrono::milliseconds(300);
+constexpr base::Duration kOrderLeaseMargin = std::chrono::milliseconds(300);
 /// A recorded order is sent within this time or not at all.
 constexpr base::Duration kRecordedOrderLifetime = std::chrono::milliseconds(300);
 
 /// Tracks when each worker was last ordered, by the clock of this server. Every server updates its
 /// own tracker as it applies the log, so that the next leader has the times.
 ///
-/// Invariant: an order arrives before `orderedAt` + kRecordedOrderLifetime + kTurnMargin, or it was
-/// sent under a lease of leadership that ended before the current leader was elected.
-class OrderTurns {
+/// Invariant: an order arrives before `orderedAt` + kRecordedOrderLifetime + kOrderLeaseMargin, or
+/// it was sent under a lease of leadership that ended before the current leader was elected.
+class OrderTimes {
  public:
   /// @param now when this server starts to apply log entries.
-  explicit OrderTurns(base::TimePoint now) : lastMissedOrderAt_(now) {}
+  explicit OrderTimes(base::TimePoint now) : lastMissedOrderAt_(now) {}
 
   /// Records that a log entry with orders for these workers was applied.
   void ordered(const std::vector<WorkerId>& workers, base::TimePoint now);
--- a/src/registry/placement.h
+++ b/src/registry/placement.h
@@ -96,7 +96,7 @@
 };
 
 /// A requested model that no worker will serve for some time, and the expected delay.
-struct ModelOutlook {
+struct LateModelForecast {
   std::string model;
   base::Duration availableIn{0};
 };
@@ -135,7 +135,7 @@
   /// @return the decisions of the last run, without those that repeat why a model still waits.
   std::vector<PlacementDecision> takeDecisions() { return std::exchange(decisions_, {}); }
   /// @return the models that come late, as of the last run.
-  const std::vector<ModelOutlook>& outlook() const { return outlook_; }
+  const std::vector<LateModelForecast>& outlook() const { return outlook_; }
 
  private:
   /// The worker on which capacity is being freed for a model.
@@ -189,7 +189,7 @@
   /// Seconds for which loads decided in this run will keep a worker busy, beyond its current order.
   std::map<WorkerId, double> queued_;
   std::vector<PlacementDecision> decisions_;
-  std::vector<ModelOutlook> outlook_;
+  std::vector<LateModelForecast> outlook_;
   /// Models that were announced as late, and since when. Their callers no longer wait for them, but
   /// they are still to be loaded.
   std::map<std::string, base::TimePoint> lateModels_;
--- a/src/registry/registry_impl.cpp
+++ b/src/registry/registry_impl.cpp
@@ -244,7 +244,7 @@
 
 void RegistryImpl::receiveBody(protocol::ConnectionId from, const LimitReport& message) {
   if (isActiveLeader()) {
-    leading_->limitsReported(from, message, now_);
+    leading_->handleLimitReport(from, message, now_);
   }
 }
 
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -14,7 +14,7 @@
 #include "registry/heartbeat_relay.h"
 #include "registry/leader_duties.h"
 #include "registry/membership_policy.h"
-#include "registry/order_turns.h"
+#include "registry/order_times.h"
 #include "registry/registration_times.h"
 #include "walnut/registry/registry.h"
 
@@ -182,7 +182,7 @@
 
   /// When this process last saw a server take over the order lease.
   std::optional<base::TimePoint> lastTakeoverAt_;
-  OrderTurns orderTurns_;
+  OrderTimes orderTurns_;
   RegistrationTimes registrations_;
   const consensus::LogIndex recoveredIndex_;  ///< Last entry of the recovered log.
   const base::TimePoint startedAt_;
--- a/src/registry/store_rate.cpp
+++ b/src/registry/store_rate.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-double StoreRate::mostBegun(double perSecond, const StoreWindow& window, base::Duration duration) {
+double StoreRate::maxStarts(double perSecond, const StoreWindow& window, base::Duration duration) {
   return burstOf(perSecond, window) + perSecond * seconds(duration);
 }
 
--- a/src/registry/store_rate.h
+++ b/src/registry/store_rate.h
@@ -32,7 +32,7 @@
   explicit StoreRate(const FormerLoads& previousLoads) : previousLoads_(previousLoads) {}
 
   /// @return the most loads that may start within that time of the first one, if none preceded it.
-  static double mostBegun(double perSecond, const StoreWindow& window, base::Duration duration);
+  static double maxStarts(double perSecond, const StoreWindow& window, base::Duration duration);
 
   /// @param perSecond the rate; 0 if it is not limited.
   void setLimit(double perSecond, const StoreWindow& window, base::TimePoint now);
--- a/src/registry/worker_limit_book.cpp
+++ b/src/registry/worker_limit_tracker.cpp
@@ -1,4 +1,4 @@
-#include "registry/worker_limit_book.h"
+#include "registry/worker_limit_tracker.h"
 
 #include <algorithm>
 
@@ -22,28 +22,28 @@
 
 }  // namespace
 
-double WorkerLimitBook::capacityOf(double limit) {
+double WorkerLimitTracker::capacityOf(double limit) {
   return kCapacityRequests + kCapacitySeconds * limit;
 }
 
-std::optional<double> WorkerLimitBook::limitOf(const WorkerId& worker) const {
+std::optional<double> WorkerLimitTracker::limitOf(const WorkerId& worker) const {
   const auto found = limits_.find(worker);
   return found == limits_.end() ? std::nullopt : std::optional(found->second.named.perSecond);
 }
 
-bool WorkerLimitBook::wasOverLimit(const WorkerId& worker, base::TimePoint now) const {
+bool WorkerLimitTracker::wasOverLimit(const WorkerId& worker, base::TimePoint now) const {
   const auto found = limits_.find(worker);
   return found != limits_.end() && now < found->second.overLimitUntil;
 }
 
-void WorkerLimitBook::forget(const WorkerId& worker) {
+void WorkerLimitTracker::forget(const WorkerId& worker) {
   limits_.erase(worker);
   endedAt_.erase(worker);
   ledger_.removeBucket(worker.value);
 }
 
-std::vector<WorkerLimitBook::Change> WorkerLimitBook::report(const LimitReport& report,
-                                                             base::TimePoint now) {
+std::vector<WorkerLimitTracker::Change> WorkerLimitTracker::report(const LimitReport& report,
+                                                                   base::TimePoint now) {
   std::vector<Change> changes;
   for (const LimitSighting& sighting : report.sightings) {
     auto change = sighting.perSecond ? applyNamedLimit(sighting.worker, sighting, now)
@@ -55,7 +55,7 @@
   return changes;
 }
 
-std::optional<WorkerLimitBook::Change> WorkerLimitBook::applyNamedLimit(
+std::optional<WorkerLimitTracker::Change> WorkerLimitTracker::applyNamedLimit(
     const WorkerId& worker, const LimitSighting& sighting, base::TimePoint now) {
   const base::TimePoint answeredAt = now - sighting.answeredAgo;
   const auto ended = endedAt_.find(worker);
@@ -75,7 +75,7 @@
   return Change{worker, perSecond, previous, sighting.answeredAgo};
 }
 
-std::optional<WorkerLimitBook::Change> WorkerLimitBook::applyMissingLimit(
+std::optional<WorkerLimitTracker::Change> WorkerLimitTracker::applyMissingLimit(
     const WorkerId& worker, const LimitSighting& sighting, base::TimePoint now) {
   const auto found = limits_.find(worker);
   if (found == limits_.end() || !found->second.named.endsBy(now - sighting.sentAgo)) {
@@ -90,8 +90,8 @@
   return Change{worker, std::nullopt, previous, sighting.answeredAgo};
 }
 
-ShareGrant WorkerLimitBook::grant(protocol::ConnectionId gateway, const ShareRequest& request,
-                                  base::TimePoint now) {
+ShareGrant WorkerLimitTracker::grant(protocol::ConnectionId gateway, const ShareRequest& request,
+                                     base::TimePoint now) {
   ShareGrant answer;
   answer.grant = ledger_.grant(gateway, request.request, now);
   for (const QuotaClaim& claim : request.request.claims) {
--- a/src/registry/worker_limit_book.h
+++ b/src/registry/worker_limit_tracker.h
@@ -26,9 +26,9 @@
 ///
 /// A new leader knows no limits and has granted nothing. Gateways report the limits they know
 /// before they request shares, and the buckets are empty at first.
-class WorkerLimitBook {
+class WorkerLimitTracker {
  public:
-  WorkerLimitBook() : ledger_(QuotaOptions{}) {}
+  WorkerLimitTracker() : ledger_(QuotaOptions{}) {}
 
   /// A new, changed or ended limit.
   struct Change {
--- a/src/simulator/serving_account.cpp
+++ b/src/simulator/serving_account.cpp
@@ -43,7 +43,7 @@
   std::size_t leftOut = 0;
   for (const base::TimePoint deadline : deadlines) {
     const double loads =
-        registry::StoreRate::mostBegun(options_.storeLoadsPerSecond, window, deadline - startedAt_);
+        registry::StoreRate::maxStarts(options_.storeLoadsPerSecond, window, deadline - startedAt_);
     const bool inTime = loads >= static_cast<double>(begun + 1);
     ++(inTime ? begun : leftOut);
   }
--- a/src/simulator/serving_fleet.cpp
+++ b/src/simulator/serving_fleet.cpp
@@ -316,7 +316,7 @@
       noteReports(*cuts);
       leader_->cutsReported(*cuts, scheduler_.now());
     } else if (const auto* limits = std::get_if<registry::LimitReport>(&message)) {
-      leader_->limitsReported(connection, *limits, scheduler_.now());
+      leader_->handleLimitReport(connection, *limits, scheduler_.now());
     } else if (const auto* shares = std::get_if<registry::ShareRequest>(&message)) {
       ++shareQuestions_;
       leader_->sharesAsked(connection, *shares, scheduler_.now());
--- a/src/simulator/serving_fleet.h
+++ b/src/simulator/serving_fleet.h
@@ -255,7 +255,7 @@
   std::unique_ptr<Reader> reader_;
   registry::DocumentCache documents_;
   registry::CellState state_;
-  registry::OrderTurns turns_;
+  registry::OrderTimes turns_;
   consensus::Term term_ = 0;
   std::unique_ptr<registry::LeaderDuties> leader_;  ///< Null while nobody leads.
   std::vector<std::unique_ptr<registry::LeaderDuties>> formerLeaders_;
--- a/test/registry/leader_duties_kit.h
+++ b/test/registry/leader_duties_kit.h
@@ -68,7 +68,7 @@
   RegistryOptions options;
   CellState state;
   base::TimePoint now = base::TimePoint(100s);
-  OrderTurns turns{base::TimePoint(0s)};
+  OrderTimes turns{base::TimePoint(0s)};
   std::unique_ptr<LeaderDuties> duties;
   std::vector<RegistryAction> actions;
   bool leaseValid = true;
--- a/test/registry/leader_duties_test.cpp
+++ b/test/registry/leader_duties_test.cpp
@@ -47,7 +47,7 @@
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {{"w1"}, {"w2"}}});
-  turns = OrderTurns(now);
+  turns = OrderTimes(now);
   lead();
   demandModel("a");
   runAnswering(kLease);
@@ -153,7 +153,7 @@
   options.ordersFenced = false;
   now += 10s;
   state.apply(StoreOrderedWorkers{kSelf, 1, 1, {{"w1"}, {"w2"}}});
-  turns = OrderTurns(now);
+  turns = OrderTimes(now);
   lead();
   demandModel("a");
   runAnswering(300ms);
--- a/test/registry/order_turns_test.cpp
+++ b/test/registry/order_times_test.cpp
@@ -1,7 +1,7 @@
 /// Tests when a worker may be ordered after a change of leader, and which server is elected first
 /// after a restart.
 
-#include "registry/order_turns.h"
+#include "registry/order_times.h"
 
 #include "registry/cell_state.h"
 
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-TEST_GROUP(OrderTurnsTest) {
+TEST_GROUP(OrderTimesTest) {
   const base::TimePoint start = base::TimePoint(100s);
-  OrderTurns turns{start};
+  OrderTimes turns{start};
 
   static consensus::LogEntry entryOf(consensus::LogIndex index, const Command& command) {
     consensus::LogEntry entry;
@@ -32,25 +32,26 @@
   }
 };
 
-TEST(OrderTurnsTest, theLeaseRunsFromTheOrderAndNotFromTheElection) {
+TEST(OrderTimesTest, theLeaseRunsFromTheOrderAndNotFromTheElection) {
   turns.ordered({{"w"}}, start + 10s);
   const base::TimePoint allowed = turns.allowedAt({"w"}, start + 12s, kLease);
-  CHECK_TRUE(allowed == start + 10s + kRecordedOrderLifetime + kLease + kTurnMargin);
+  CHECK_TRUE(allowed == start + 10s + kRecordedOrderLifetime + kLease + kOrderLeaseMargin);
 }
 
-TEST(OrderTurnsTest, noOrderOfAPreviousHolderIsLaterThanTheElection) {
+TEST(OrderTimesTest, noOrderOfAPreviousHolderIsLaterThanTheElection) {
   turns.ordered({{"w"}}, start + 12s);
-  CHECK_TRUE(turns.allowedAt({"w"}, start + 12s, kLease) == start + 12s + kLease + kTurnMargin);
+  CHECK_TRUE(turns.allowedAt({"w"}, start + 12s, kLease) ==
+             start + 12s + kLease + kOrderLeaseMargin);
 }
 
-TEST(OrderTurnsTest, unseenOrdersMayBeAsLateAsTheStartOrTheRestoredState) {
+TEST(OrderTimesTest, unseenOrdersMayBeAsLateAsTheStartOrTheRestoredState) {
   CHECK_TRUE(turns.allowedAt({"w"}, start + 9s, kLease) >= start + kLease);
   turns.ordered({{"w"}}, start + 1s);
   turns.restored(start + 5s);
   CHECK_TRUE(turns.allowedAt({"w"}, start + 9s, kLease) >= start + 5s + kLease);
 }
 
-TEST(OrderTurnsTest, theHolderIsFoundInTheSnapshotAndInTheLogAfterIt) {
+TEST(OrderTimesTest, theHolderIsFoundInTheSnapshotAndInTheLogAfterIt) {
   consensus::RecoveredState recovered;
   CHECK_TRUE(recoveredOrderHolder(recovered) == base::ServerId{});
   CellState state;
@@ -63,7 +64,7 @@
   CHECK_TRUE(recoveredOrderHolder(recovered) == base::ServerId{6});
 }
 
-TEST(OrderTurnsTest, afterARestartThePreviousHolderIsTheFirstToRequestVotes) {
+TEST(OrderTimesTest, afterARestartThePreviousHolderIsTheFirstToRequestVotes) {
   const consensus::RaftOptions options;
   const base::Duration own = firstElectionTimeout(options, base::ServerId{6}, base::ServerId{6});
   CHECK_TRUE(own > options.electionTimeoutMin);
--- a/test/registry/slow_store_test.cpp
+++ b/test/registry/slow_store_test.cpp
@@ -117,7 +117,7 @@
   CHECK_EQUAL(1, plan(engine, {workerWithCopies("w", {}), workerWithCopies("w2", {})}).size());
   // The load of the ninth waiting model starts after 6 s.
   base::Duration last{0};
-  for (const ModelOutlook& outlook : policy.outlook()) {
+  for (const LateModelForecast& outlook : policy.outlook()) {
     last = std::max(last, outlook.availableIn);
   }
   CHECK_TRUE(last > 6s);
--- a/test/registry/worker_incarnations_test.cpp
+++ b/test/registry/worker_incarnations_test.cpp
@@ -110,7 +110,7 @@
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {workerIdOf("w", kFirstStart)}});
   state.apply(StoreWorker{incarnation(kSecondStart)});
   CHECK(state.lastOrderedBy(workerIdOf("w", kSecondStart)) == kFormer);
-  OrderTurns times{base::TimePoint(1s)};
+  OrderTimes times{base::TimePoint(1s)};
   times.ordered({workerIdOf("w", kFirstStart)}, now);
   const base::TimePoint before = times.allowedAt(workerIdOf("w", kFirstStart), now + 10s, kLease);
   times.succeeded(workerIdOf("w", kFirstStart), workerIdOf("w", kSecondStart));
--- a/test/registry/worker_limit_book_test.cpp
+++ b/test/registry/worker_limit_tracker_test.cpp
@@ -1,6 +1,6 @@
 /// Tests how the leader tracks the limits of workers and grants shares of them.
 
-#include "registry/worker_limit_book.h"
+#include "registry/worker_limit_tracker.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
@@ -9,8 +9,8 @@
 using namespace walnut::registry;
 using namespace std::chrono_literals;
 
-TEST_GROUP(WorkerLimitBookTest) {
-  WorkerLimitBook book;
+TEST_GROUP(WorkerLimitTrackerTest) {
+  WorkerLimitTracker book;
   base::TimePoint now = base::TimePoint(100s);
   const WorkerId worker{"w1"};
 
@@ -27,31 +27,31 @@
   }
 };
 
-TEST(WorkerLimitBookTest, aLimitIsKnownFromAnAnswerOn) {
+TEST(WorkerLimitTrackerTest, aLimitIsKnownFromAnAnswerOn) {
   CHECK_FALSE(book.limitOf(worker).has_value());
   CHECK_TRUE(named(2));
   DOUBLES_EQUAL(2, *book.limitOf(worker), 0.001);
   CHECK_FALSE(named(2));
 }
 
-TEST(WorkerLimitBookTest, gatewaysTogetherAreGrantedTheLimitAndLittleMore) {
+TEST(WorkerLimitTrackerTest, gatewaysTogetherAreGrantedTheLimitAndLittleMore) {
   named(2);
   double sum = 0;
   for (int step = 0; step < 400; ++step) {
     sum += granted(static_cast<std::uint64_t>(step % 24) + 1, 1);
     now += 10ms;
   }
-  CHECK(sum <= 8 + WorkerLimitBook::capacityOf(2));
+  CHECK(sum <= 8 + WorkerLimitTracker::capacityOf(2));
   CHECK(sum >= 7);
 }
 
-TEST(WorkerLimitBookTest, onlyWholeRequestsAreGranted) {
+TEST(WorkerLimitTrackerTest, onlyWholeRequestsAreGranted) {
   named(2);
   now += 700ms;
   DOUBLES_EQUAL(1, granted(1, 3), 0.001);
 }
 
-TEST(WorkerLimitBookTest, anAnswerToALaterRequestEndsALimit) {
+TEST(WorkerLimitTrackerTest, anAnswerToALaterRequestEndsALimit) {
   named(2);
   now += 1s;
   CHECK_FALSE(notNamed(1001ms));
@@ -63,7 +63,7 @@
 }
 
 /// A report of a limit may arrive after its end, because its gateway was slow or disconnected.
-TEST(WorkerLimitBookTest, aLimitStatedBeforeItsEndHasNoEffect) {
+TEST(WorkerLimitTrackerTest, aLimitStatedBeforeItsEndHasNoEffect) {
   named(2);
   now += 1s;
   notNamed(500ms);
@@ -72,7 +72,7 @@
   CHECK_TRUE(named(2, 500ms, 400ms));
 }
 
-TEST(WorkerLimitBookTest, ofTwoAnswersThatCrossedTheLowerLimitHolds) {
+TEST(WorkerLimitTrackerTest, ofTwoAnswersThatCrossedTheLowerLimitHolds) {
   named(1);
   now += 100ms;
   CHECK_FALSE(named(5, 200ms));
@@ -80,15 +80,15 @@
   CHECK_TRUE(named(3, 500ms));
 }
 
-TEST(WorkerLimitBookTest, aLowerLimitBindsAtOnce) {
+TEST(WorkerLimitTrackerTest, aLowerLimitBindsAtOnce) {
   named(50);
   now += 10s;
   named(1);
-  CHECK(granted(1, 50) <= WorkerLimitBook::capacityOf(1));
+  CHECK(granted(1, 50) <= WorkerLimitTracker::capacityOf(1));
 }
 
 /// The end of such a limit can only be detected by a request.
-TEST(WorkerLimitBookTest, aLimitOfZeroStillGrantsOccasionalRequests) {
+TEST(WorkerLimitTrackerTest, aLimitOfZeroStillGrantsOccasionalRequests) {
   named(0);
   double sum = 0;
   for (int step = 0; step < 400; ++step) {
@@ -98,7 +98,7 @@
   CHECK(sum >= 9 && sum <= 12);
 }
 
-TEST(WorkerLimitBookTest, nothingIsGrantedInAdvanceWhileTheLimitIsExceeded) {
+TEST(WorkerLimitTrackerTest, nothingIsGrantedInAdvanceWhileTheLimitIsExceeded) {
   named(1);
   now += 100ms;
   DOUBLES_EQUAL(0, granted(1, 1), 0.001);
@@ -108,7 +108,7 @@
   DOUBLES_EQUAL(1, granted(3, 1), 0.001);
 }
 
-TEST(WorkerLimitBookTest, aLimitEndsWithTheIncarnationOfItsWorker) {
+TEST(WorkerLimitTrackerTest, aLimitEndsWithTheIncarnationOfItsWorker) {
   named(1);
   book.forget(worker);
   CHECK_FALSE(book.limitOf(worker).has_value());
