--- a/include/walnut/control/controller.h
+++ b/include/walnut/control/controller.h
@@ -32,9 +32,9 @@
   base::Duration placementInterval = std::chrono::milliseconds(50);
   /// Time in which all models are planned once, for changes that follow from the passage of time
   /// alone; short compared to idle times.
-  base::Duration planningPass = std::chrono::seconds(2);
+  base::Duration planningPassDuration = std::chrono::seconds(2);
   /// A machine counts as gone when it has been missing from the platform list for this long.
-  base::Duration machineGoneAfter = std::chrono::seconds(10);
+  base::Duration machineRemovalTimeout = std::chrono::seconds(10);
   base::Duration claimWindow = std::chrono::minutes(10);  ///< Time for which a claimed key is kept.
   base::Duration claimClockSkew = std::chrono::seconds(30);
   /// After this time a request is answered with `outcomeUnknown`.
@@ -42,9 +42,9 @@
   std::size_t snapshotEveryEntries = 4096;
   std::size_t snapshotKeepEntries = 512;
   /// Changes kept for watchers; a watcher that is further behind must list again.
-  std::size_t watchKeepChanges = 4096;
-  std::size_t requestAnswersKept = 4096;  ///< Answers kept for resent requests.
-  std::size_t watchPageChanges = 512;     ///< Changes in a WatchSnapshotPage.
+  std::size_t maxWatchChanges = 4096;
+  std::size_t maxRequestAnswers = 4096;  ///< Answers kept for resent requests.
+  std::size_t watchPageChanges = 512;    ///< Changes in a WatchSnapshotPage.
   /// Shortest time between two deltas to one router; changes in between are coalesced.
   base::Duration watchPushInterval = std::chrono::milliseconds(20);
   /// Longest time between two messages to a router, so that it can tell a quiet state from a lost
--- a/src/control/cell_state.cpp
+++ b/src/control/cell_state.cpp
@@ -64,8 +64,8 @@
 
 CellState::CellState(const ControllerOptions& options)
     : claims_(options.claimWindow, options.claimClockSkew),
-      answers_(options.requestAnswersKept),
-      history_(options.watchKeepChanges) {}
+      answers_(options.maxRequestAnswers),
+      history_(options.maxWatchChanges) {}
 
 ApplyResult CellState::apply(consensus::LogIndex index, const Command& command) {
   contents_.appliedIndex = index;
--- a/src/control/crash_ledger.h
+++ b/src/control/crash_ledger.h
@@ -51,13 +51,13 @@
   struct Evidence {
     std::set<Worker> crashes;  ///< Crashes that the request may have caused.
     /// Crashes at which it was queued while another request was running.
-    std::set<Worker> queuedAt;
-    std::uint64_t lastCrash = 0;  ///< Sequence number of the latest crash.
+    std::set<Worker> crashesWhileQueued;
+    std::uint64_t lastCrashSequence = 0;  ///< Sequence number of the latest crash.
 
-    bool empty() const { return crashes.empty() && queuedAt.empty(); }
+    bool empty() const { return crashes.empty() && crashesWhileQueued.empty(); }
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(crashes, queuedAt, lastCrash);
+      archive(crashes, crashesWhileQueued, lastCrashSequence);
     }
   };
 
@@ -74,7 +74,7 @@
     const bool hasRunning = workersWithRunningRequest_.count(worker) != 0;
     for (const Subject& request : queued) {
       Evidence& evidence = touchEvidence(request);
-      (hasRunning ? evidence.queuedAt : evidence.crashes).insert(worker);
+      (hasRunning ? evidence.crashesWhileQueued : evidence.crashes).insert(worker);
     }
     while (evidence_.size() > crash::kMaxSuspects) {
       evictWeakest();
@@ -85,14 +85,14 @@
   void retract(const Worker& worker) {
     for (auto& [request, evidence] : evidence_) {
       evidence.crashes.erase(worker);
-      evidence.queuedAt.erase(worker);
+      evidence.crashesWhileQueued.erase(worker);
     }
     workersWithRunningRequest_.erase(worker);
     std::erase_if(evidence_, [](const auto& entry) { return entry.second.empty(); });
   }
 
   /// Removes the evidence against a request that was answered and therefore causes no crashes.
-  void acquit(const Subject& request) {
+  void clearEvidence(const Subject& request) {
     evidence_.erase(request);
     forgetUnused();
   }
@@ -106,7 +106,7 @@
       return;
     }
     std::set<Worker>& crashes = found->second.crashes;
-    found->second.queuedAt.clear();
+    found->second.crashesWhileQueued.clear();
     if (crashes.size() < crash::kLimit) {
       evidence_.erase(found);
     }
@@ -118,12 +118,13 @@
 
   bool has(const Subject& request, const Worker& worker) const {
     const auto found = evidence_.find(request);
-    return found != evidence_.end() &&
-           (found->second.crashes.count(worker) != 0 || found->second.queuedAt.count(worker) != 0);
+    return found != evidence_.end() && (found->second.crashes.count(worker) != 0 ||
+                                        found->second.crashesWhileQueued.count(worker) != 0);
   }
   bool knows(const Worker& worker) const {
     return std::any_of(evidence_.begin(), evidence_.end(), [&worker](const auto& entry) {
-      return entry.second.crashes.count(worker) != 0 || entry.second.queuedAt.count(worker) != 0;
+      return entry.second.crashes.count(worker) != 0 ||
+             entry.second.crashesWhileQueued.count(worker) != 0;
     });
   }
   const std::map<Subject, Evidence>& evidence() const { return evidence_; }
@@ -137,21 +138,22 @@
   /// next crash mostly involves only one of them; beyond it two of them are treated as one. At
   /// `kUnexplainedCrashLimit` every request is refused whose crashes are not explained by the
   /// requests already found.
-  std::set<Subject> guilty() const {
-    std::set<Subject> guilty;
+  std::set<Subject> requestsToRefuse() const {
+    std::set<Subject> requestsToRefuse;
     Groups groups;
     for (const auto& [request, evidence] : evidence_) {
       if (evidence.crashes.size() + 1 >= crash::kLimit) {
-        groups[{evidence.crashes, evidence.queuedAt}].push_back(request);
+        groups[{evidence.crashes, evidence.crashesWhileQueued}].push_back(request);
       }
-      if (evidence.crashes.size() + evidence.queuedAt.size() >= crash::kQueuedCrashLimit) {
-        guilty.insert(request);
+      if (evidence.crashes.size() + evidence.crashesWhileQueued.size() >=
+          crash::kQueuedCrashLimit) {
+        requestsToRefuse.insert(request);
       }
     }
     for (const std::vector<Subject>* requests : neededGroups(groups)) {
-      guilty.insert(requests->begin(), requests->end());
+      requestsToRefuse.insert(requests->begin(), requests->end());
     }
-    return guilty;
+    return requestsToRefuse;
   }
 
   /// @return true if each crash that this request may have caused may also have been caused by
@@ -168,7 +170,8 @@
   /// @return true if the request is at most one crash below a limit.
   static bool close(const Evidence& evidence) {
     return evidence.crashes.size() + 1 >= crash::kLimit ||
-           evidence.crashes.size() + evidence.queuedAt.size() + 1 >= crash::kQueuedCrashLimit;
+           evidence.crashes.size() + evidence.crashesWhileQueued.size() + 1 >=
+               crash::kQueuedCrashLimit;
   }
 
   template <class Archive>
@@ -238,7 +241,7 @@
 
   Evidence& touchEvidence(const Subject& request) {
     Evidence& evidence = evidence_[request];
-    evidence.lastCrash = ++crashSequence_;
+    evidence.lastCrashSequence = ++crashSequence_;
     return evidence;
   }
 
@@ -247,7 +250,7 @@
   void moveToQueued(const Worker& worker) {
     for (auto& [request, evidence] : evidence_) {
       if (evidence.crashes.erase(worker) != 0) {
-        evidence.queuedAt.insert(worker);
+        evidence.crashesWhileQueued.insert(worker);
       }
     }
   }
@@ -256,7 +259,8 @@
   /// oldest.
   void evictWeakest() {
     const auto weight = [](const Evidence& evidence) {
-      return std::tuple(evidence.crashes.size(), evidence.queuedAt.size(), evidence.lastCrash);
+      return std::tuple(evidence.crashes.size(), evidence.crashesWhileQueued.size(),
+                        evidence.lastCrashSequence);
     };
     const auto weakest = std::min_element(evidence_.begin(), evidence_.end(),
                                           [&weight](const auto& left, const auto& right) {
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -219,7 +219,7 @@
 void Leadership::removeGoneMachines(base::TimePoint now) {
   for (const base::EngineId& engine : platform_.goneMachines()) {
     const auto reportedAt = monitor_.reportedAt(engine);
-    const bool answered = reportedAt && now < *reportedAt + context_.options.machineGoneAfter;
+    const bool answered = reportedAt && now < *reportedAt + context_.options.machineRemovalTimeout;
     const bool known = context_.state.engines().contains(engine);
     if (known && !answered && !changingEngines_.contains(engine)) {
       propose(now, RemoveEngine{engine}, false);
@@ -279,7 +279,7 @@
 
 /// Ejects engines that report healthy but fail requests, based on the outcomes that routers report.
 void Leadership::detectOutliers(base::TimePoint now) {
-  if (!outliers_.reviewDue(now)) {
+  if (!outliers_.isReviewDue(now)) {
     return;
   }
   const auto& known = context_.state.engines();
@@ -317,7 +317,8 @@
   std::set<std::string> models = planning_.takeMarked();
   models.merge(context_.demand.takeChangedModels());
   if (now >= nextPlanningStepAt_) {
-    nextPlanningStepAt_ = now + context_.options.planningPass / PlanningQueue::kStepsPerPass;
+    nextPlanningStepAt_ =
+        now + context_.options.planningPassDuration / PlanningQueue::kStepsPerPass;
     for (std::string& model : planning_.nextStep(context_.state, context_.ledger)) {
       models.insert(std::move(model));
     }
--- a/src/control/outlier_detector.h
+++ b/src/control/outlier_detector.h
@@ -37,7 +37,7 @@
 inline constexpr double kReturnFailureShare = 0.45;
 /// At most this fraction of a service's workers is ejected: the remaining ones could not carry the
 /// load of more.
-inline constexpr double kMostFailing = 0.5;
+inline constexpr double kMaxEjectedFraction = 0.5;
 /// Minimum number of reporters that must have seen a subject fail. A single reporter may be the
 /// faulty one itself.
 inline constexpr std::size_t kMinReporters = 2;
@@ -86,16 +86,16 @@
   struct Change {
     Subject subject;
     bool failing = false;
-    double share = 0;             ///< Failure share of the subject.
-    double restShare = 0;         ///< Average failure share of the others of its group.
-    std::uint32_t reporters = 0;  ///< Number of reporters that have seen it fail.
+    double share = 0;               ///< Failure share of the subject.
+    double othersFailureShare = 0;  ///< Average failure share of the others of its group.
+    std::uint32_t reporters = 0;    ///< Number of reporters that have seen it fail.
     /// Time since the previous ejection or return; 0 if there was none.
     base::Duration heldFor{0};
   };
 
   void report(Reporter reporter, const Outcomes& outcomes, base::TimePoint now);
   /// @return true if a review may eject or return a subject, so that one is due.
-  bool reviewDue(base::TimePoint now) const;
+  bool isReviewDue(base::TimePoint now) const;
   /// Ejects and returns subjects.
   /// @param groups subjects that can serve the same requests, by group name.
   /// @param reporters number of known reporters.
@@ -127,8 +127,10 @@
   void reviewGroup(const std::vector<Subject>& subjects, std::size_t reporters,
                    base::TimePoint now);
   void endEjection(const Subject& subject, Record& record, base::TimePoint now);
-  void eject(const Subject& subject, Record& record, double restShare, base::TimePoint now);
-  void recordChange(const Subject& subject, Record& record, double restShare, base::TimePoint now);
+  void eject(const Subject& subject, Record& record, double othersFailureShare,
+             base::TimePoint now);
+  void recordChange(const Subject& subject, Record& record, double othersFailureShare,
+                    base::TimePoint now);
 
   std::map<Subject, Record> records_;  ///< Subjects with reported outcomes.
   bool needsReview_ = false;  ///< Outcomes have arrived that may eject or return a subject.
@@ -168,7 +170,7 @@
 }
 
 template <class Subject, class Reporter>
-bool OutlierDetector<Subject, Reporter>::reviewDue(base::TimePoint now) const {
+bool OutlierDetector<Subject, Reporter>::isReviewDue(base::TimePoint now) const {
   return needsReview_ || std::any_of(records_.begin(), records_.end(), [now](const auto& entry) {
            return entry.second.failing && now >= entry.second.ejectedUntil;
          });
@@ -212,18 +214,18 @@
     return left.second->share > right.second->share;
   });
   const std::size_t minReporters = std::min(outlier::kMinReporters, reporters);
-  const double maxFailing = outlier::kMostFailing * static_cast<double>(subjects.size());
+  const double maxFailing = outlier::kMaxEjectedFraction * static_cast<double>(subjects.size());
   std::size_t healthyCount = healthy.size();
   for (const auto& [subject, record] : healthy) {
     if (record->share < outlier::kEjectionFailureShare ||
         static_cast<double>(failing + 1) > maxFailing) {
       return;
     }
-    const double restShare =
+    const double othersFailureShare =
         healthyCount <= 1 ? 0 : (shares - record->share) / static_cast<double>(healthyCount - 1);
-    if (record->share >= restShare + outlier::kMinExcessFailureShare &&
+    if (record->share >= othersFailureShare + outlier::kMinExcessFailureShare &&
         record->failureReporters.size() >= minReporters) {
-      eject(subject, *record, restShare, now);
+      eject(subject, *record, othersFailureShare, now);
       shares -= record->share;
       --healthyCount;
       ++failing;
@@ -249,20 +251,21 @@
 
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::eject(const Subject& subject, Record& record,
-                                               double restShare, base::TimePoint now) {
+                                               double othersFailureShare, base::TimePoint now) {
   record.failing = true;
   record.ejectedUntil =
       now + outlier::kBaseEjectionTime * (1U << std::min(record.ejections, outlier::kMaxDoublings));
   ++record.ejections;
-  recordChange(subject, record, restShare, now);
+  recordChange(subject, record, othersFailureShare, now);
 }
 
 template <class Subject, class Reporter>
 void OutlierDetector<Subject, Reporter>::recordChange(const Subject& subject, Record& record,
-                                                      double restShare, base::TimePoint now) {
+                                                      double othersFailureShare,
+                                                      base::TimePoint now) {
   const bool first = record.changedAt == base::TimePoint();
   const base::TimePoint since = std::exchange(record.changedAt, now);
-  changes_.push_back({subject, record.failing, record.share, restShare,
+  changes_.push_back({subject, record.failing, record.share, othersFailureShare,
                       static_cast<std::uint32_t>(record.failureReporters.size()),
                       first ? base::Duration::zero() : now - since});
 }
--- a/src/control/platform_watcher.cpp
+++ b/src/control/platform_watcher.cpp
@@ -53,7 +53,7 @@
 std::vector<base::EngineId> PlatformWatcher::goneMachines() const {
   std::vector<base::EngineId> gone;
   for (const auto& [engine, since] : absentSince_) {
-    if (asOf_ >= since + options_.machineGoneAfter) {
+    if (asOf_ >= since + options_.machineRemovalTimeout) {
       gone.push_back(engine);
     }
   }
--- a/src/control/platform_watcher.h
+++ b/src/control/platform_watcher.h
@@ -15,7 +15,7 @@
 
 /// Reads the list at an interval and applies only lists with a later date than the last one.
 /// Invariant: a machine counts as gone only if it is missing from all lists over a span of
-/// machineGoneAfter by the platform's own clock, the first and the last list included.
+/// machineRemovalTimeout by the platform's own clock, the first and the last list included.
 class PlatformWatcher {
  public:
   /// Both references outlive this object.
--- a/src/daemon/controller_settings.cpp
+++ b/src/daemon/controller_settings.cpp
@@ -83,8 +83,8 @@
       segmentBytes_(static_cast<std::int64_t>(settings_.segmentBytes)),
       snapshotEveryEntries_(static_cast<std::int64_t>(settings_.logic.snapshotEveryEntries)),
       snapshotKeepEntries_(static_cast<std::int64_t>(settings_.logic.snapshotKeepEntries)),
-      watchKeepChanges_(static_cast<std::int64_t>(settings_.logic.watchKeepChanges)),
-      requestAnswersKept_(static_cast<std::int64_t>(settings_.logic.requestAnswersKept)),
+      watchKeepChanges_(static_cast<std::int64_t>(settings_.logic.maxWatchChanges)),
+      requestAnswersKept_(static_cast<std::int64_t>(settings_.logic.maxRequestAnswers)),
       callThreads_(static_cast<std::int64_t>(settings_.calls.threads)),
       callsPerEngine_(static_cast<std::int64_t>(settings_.calls.perEndpoint)),
       maxConnections_(settings_.api.maxConnections) {
@@ -142,7 +142,7 @@
                   "Connecting to an engine");
   keys_.addMillis("platform-list-interval-ms", logic.platformListInterval, 10, kHour,
                   "Between two readings of the platform list");
-  keys_.addMillis("machine-gone-after-ms", logic.machineGoneAfter, 100, kHour,
+  keys_.addMillis("machine-gone-after-ms", logic.machineRemovalTimeout, 100, kHour,
                   "A machine absent from the platform list for so long is known gone");
   keys_.addMillis("demand-lifetime-ms", logic.demandLifetime, 100, kHour,
                   "Demand of a router that is silent for so long lapses");
@@ -214,8 +214,8 @@
   settings_.segmentBytes = static_cast<std::uint64_t>(segmentBytes_);
   logic.snapshotEveryEntries = static_cast<std::size_t>(snapshotEveryEntries_);
   logic.snapshotKeepEntries = static_cast<std::size_t>(snapshotKeepEntries_);
-  logic.watchKeepChanges = static_cast<std::size_t>(watchKeepChanges_);
-  logic.requestAnswersKept = static_cast<std::size_t>(requestAnswersKept_);
+  logic.maxWatchChanges = static_cast<std::size_t>(watchKeepChanges_);
+  logic.maxRequestAnswers = static_cast<std::size_t>(requestAnswersKept_);
   settings_.calls.threads = static_cast<std::size_t>(callThreads_);
   settings_.calls.perEndpoint = static_cast<std::size_t>(callsPerEngine_);
   settings_.api.maxConnections = static_cast<int>(maxConnections_);
--- a/src/experiment/local_cell.cpp
+++ b/src/experiment/local_cell.cpp
@@ -26,9 +26,9 @@
   options.raft.electionTimeoutMax = std::chrono::seconds(12);
   options.raft.checkQuorumTimeout = std::chrono::seconds(10);
   options.reportInterval = std::chrono::seconds(10);
-  options.planningPass = std::chrono::seconds(64);
+  options.planningPassDuration = std::chrono::seconds(64);
   options.platformListInterval = std::chrono::minutes(5);
-  options.machineGoneAfter = std::chrono::hours(1);
+  options.machineRemovalTimeout = std::chrono::hours(1);
   options.demandLifetime = std::chrono::hours(48);  // No router falls silent.
   options.watchHeartbeatInterval = std::chrono::minutes(10);
   return options;
--- a/src/registry/cell_state.cpp
+++ b/src/registry/cell_state.cpp
@@ -58,7 +58,8 @@
                  [this](const RetractCrash& body) { requestCrashes_.retract(body.worker); },
                  [this](const ReleaseSuspects& body) {
                    for (const RequestDigest& request : body.requests) {
-                     body.aged ? requestCrashes_.age(request) : requestCrashes_.acquit(request);
+                     body.aged ? requestCrashes_.age(request)
+                               : requestCrashes_.clearEvidence(request);
                    }
                  },
                  [this](const RaiseFeatureLevel& body) {
--- a/src/registry/crash_monitor.cpp
+++ b/src/registry/crash_monitor.cpp
@@ -200,18 +200,18 @@
     const StoreCrash crash = crashOf(worker, pending);
     expected.add(worker, crash.begun, crash.queued);
   }
-  return expected.guilty();
+  return expected.requestsToRefuse();
 }
 
 void CrashMonitor::classify(base::TimePoint now) {
   classifiedAt_ = now;
   const RequestCrashLedger& ledger = state_.requestCrashes();
-  const std::set<RequestDigest> causes = ledger.guilty();
+  const std::set<RequestDigest> causes = ledger.requestsToRefuse();
   const std::set<RequestDigest> likelyCauses = expectedCauses();
   for (const auto& [request, evidence] : ledger.evidence()) {
     auto& [latest, since] = evidenceAt_[request];
-    if (latest != evidence.lastCrash) {
-      latest = evidence.lastCrash;
+    if (latest != evidence.lastCrashSequence) {
+      latest = evidence.lastCrashSequence;
       since = now;
     }
     if (const auto standing = standingOf(request, evidence, causes, likelyCauses, now)) {
@@ -232,7 +232,7 @@
   if (!RequestCrashLedger::close(evidence)) {
     return std::nullopt;
   }
-  const std::size_t crashes = evidence.crashes.size() + evidence.queuedAt.size();
+  const std::size_t crashes = evidence.crashes.size() + evidence.crashesWhileQueued.size();
   const bool waitsForSlice = crashes < control::crash::kLimit && !isInTimeSlice(request, now) &&
                              now < evidenceAt_.at(request).second + kTimeSlicingPeriod &&
                              state_.requestCrashes().contested(request);
@@ -261,7 +261,7 @@
 void CrashMonitor::setStanding(const RequestDigest& request, RequestStanding standing,
                                const RequestCrashLedger::Evidence& evidence, base::TimePoint now) {
   const auto crashes =
-      static_cast<std::uint32_t>(evidence.crashes.size() + evidence.queuedAt.size());
+      static_cast<std::uint32_t>(evidence.crashes.size() + evidence.crashesWhileQueued.size());
   const auto [found, added] = suspects_.try_emplace(request);
   Suspect& suspect = found->second;
   if (!added && suspect.standing == standing && suspect.crashes == crashes) {
@@ -274,12 +274,13 @@
   for (const WorkerId& worker : evidence.crashes) {
     append(workers, worker.value);
   }
-  log_.write(LogEvent::requestSuspected, {{"digest", request.text()},
-                                          {"standing", standingName(standing)},
-                                          {"crashes", std::uint64_t{crashes}},
-                                          {"workers", workers},
-                                          {"queued-at", std::uint64_t{evidence.queuedAt.size()}},
-                                          {"former-millis", millisOf(former)}});
+  log_.write(LogEvent::requestSuspected,
+             {{"digest", request.text()},
+              {"standing", standingName(standing)},
+              {"crashes", std::uint64_t{crashes}},
+              {"workers", workers},
+              {"queued-at", std::uint64_t{evidence.crashesWhileQueued.size()}},
+              {"former-millis", millisOf(former)}});
 }
 
 void CrashMonitor::release(base::TimePoint now) {
--- a/src/registry/leader_worker_health.cpp
+++ b/src/registry/leader_worker_health.cpp
@@ -189,7 +189,7 @@
 }
 
 void LeaderDuties::detectOutliers(base::TimePoint now) {
-  if (!outliers_.reviewDue(now)) {
+  if (!outliers_.isReviewDue(now)) {
     return;
   }
   std::map<std::string_view, std::vector<WorkerId>> services;
@@ -205,7 +205,7 @@
     log_.write(change.failing ? LogEvent::workerFailing : LogEvent::workerTried,
                {{"worker", change.subject.value},
                 {"failed-percent", percent(change.share)},
-                {"rest-percent", percent(change.restShare)},
+                {"rest-percent", percent(change.othersFailureShare)},
                 {"gateways", change.reporters},
                 {"former-millis", millisOf(change.heldFor)}});
   }
--- a/src/simulator/fleet.cpp
+++ b/src/simulator/fleet.cpp
@@ -62,7 +62,7 @@
     options.resourceEndpoint = endpointOf("10.0.0.", index, kResourcePort);
     options.logic.snapshotEveryEntries = kSnapshotEveryEntries;
     options.logic.snapshotKeepEntries = kSnapshotKeepEntries;
-    options.logic.watchKeepChanges = kWatchKeepChanges;
+    options.logic.maxWatchChanges = kWatchKeepChanges;
     controllers.push_back(std::make_unique<ControllerNode>(
         environment, options, *platform,
         base::ServerId{environment.random().uniform(1, UINT64_MAX)}));
--- a/test/control/cell_property_test.cpp
+++ b/test/control/cell_property_test.cpp
@@ -256,8 +256,8 @@
   ControllerOptions options;
   options.claimWindow = std::chrono::seconds(10);
   options.claimClockSkew = std::chrono::seconds(1);
-  options.watchKeepChanges = 16;
-  options.requestAnswersKept = 50;
+  options.maxWatchChanges = 16;
+  options.maxRequestAnswers = 50;
   return options;
 }
 
--- a/test/control/crash_ledger_test.cpp
+++ b/test/control/crash_ledger_test.cpp
@@ -20,7 +20,9 @@
   void add(const std::string& worker, const std::vector<std::string>& requests) {
     ledger.add(worker, {}, requests);
   }
-  void checkRefused(const std::set<std::string>& expected) { CHECK(ledger.guilty() == expected); }
+  void checkRefused(const std::set<std::string>& expected) {
+    CHECK(ledger.requestsToRefuse() == expected);
+  }
 };
 
 TEST(CrashLedgerTest, aRequestIsRefusedAfterThreeCrashes) {
@@ -189,7 +191,7 @@
   for (const char* worker : {"w1", "w2", "w3"}) {
     add(worker, {"r"});
   }
-  ledger.acquit("r");
+  ledger.clearEvidence("r");
   checkRefused({});
   CHECK(ledger.empty());
 }
--- a/test/control/outlier_detector_test.cpp
+++ b/test/control/outlier_detector_test.cpp
@@ -117,9 +117,9 @@
   fail("w1", 3);
   CHECK_TRUE(failing("w1"));
   now += 3900ms;
-  CHECK_FALSE(detector.reviewDue(now));
+  CHECK_FALSE(detector.isReviewDue(now));
   now += 200ms;
-  CHECK_TRUE(detector.reviewDue(now));
+  CHECK_TRUE(detector.isReviewDue(now));
   CHECK_FALSE(failing("w1"));
   report("w1", 0, 1, 4);
   CHECK_TRUE(failing("w1"));
@@ -148,7 +148,7 @@
   CHECK_TRUE(changes[0].failing);
   CHECK_EQUAL(3, changes[0].reporters);
   CHECK_TRUE(changes[0].share > 0.5);
-  CHECK_TRUE(changes[0].restShare < 0.1);
+  CHECK_TRUE(changes[0].othersFailureShare < 0.1);
 }
 
 TEST(OutlierDetectorTest, aWorkerAtItsLimitThatAnswersOthersIsNotEjected) {
--- a/test/control/watch_sessions_test.cpp
+++ b/test/control/watch_sessions_test.cpp
@@ -15,7 +15,7 @@
 
 control::ControllerOptions smallOptions() {
   control::ControllerOptions options;
-  options.watchKeepChanges = 8;
+  options.maxWatchChanges = 8;
   options.watchPageChanges = 3;
   return options;
 }
--- a/test/registry/worker_incarnations_test.cpp
+++ b/test/registry/worker_incarnations_test.cpp
@@ -124,7 +124,7 @@
   for (const std::uint64_t startMillis : {kFirstStart, kSecondStart, kSecondStart + 1}) {
     ledger.add(workerIdOf("w", startMillis), {request}, {});
   }
-  CHECK_EQUAL(1, ledger.guilty().count(request));
+  CHECK_EQUAL(1, ledger.requestsToRefuse().count(request));
 }
 
 TEST(WorkerLivesTest, aReportOfAnotherLifeIsNotTaken) {
