--- a/test/registry/worker_incarnations_test.cpp
+++ b/test/registry/worker_incarnations_test.cpp
@@ -110,7 +110,7 @@
   state.apply(StoreOrderedWorkers{kFormer, 1, 1, {workerIdOf("w", kFirstStart)}});
   state.apply(StoreWorker{incarnation(kSecondStart)});
   CHECK(state.lastOrderedBy(workerIdOf("w", kSecondStart)) == kFormer);
-  OrderTurns times{base::TimePoint(1s)};
+  OrderTimes times{base::TimePoint(1s)};
   times.ordered({workerIdOf("w", kFirstStart)}, now);
   const base::TimePoint before = times.allowedAt(workerIdOf("w", kFirstStart), now + 10s, kLease);
   times.succeeded(workerIdOf("w", kFirstStart), workerIdOf("w", kSecondStart));
@@ -124,7 +124,7 @@
   for (const std::uint64_t startMillis : {kFirstStart, kSecondStart, kSecondStart + 1}) {
     ledger.add(workerIdOf("w", startMillis), {request}, {});
   }
-  CHECK_EQUAL(1, ledger.guilty().count(request));
+  CHECK_EQUAL(1, ledger.requestsToRefuse().count(request));
 }
 
 TEST(WorkerLivesTest, aReportOfAnotherLifeIsNotTaken) {
