--- a/include/walnut/consensus/codec.h
+++ b/include/walnut/consensus/codec.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// cereal encoding of what the log and the snapshot files hold.
+/// Serialization (cereal) of log entries, memberships and snapshots for storage and transfer.
 
 #include <string>
 #include <string_view>
--- a/include/walnut/consensus/messages.h
+++ b/include/walnut/consensus/messages.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Messages and log entries of the replicated log (Raft).
+/// Data types of the replicated log (Raft): memberships, log entries and messages between servers.
 
 #include <cereal/types/string.hpp>
 #include <cereal/types/variant.hpp>
@@ -19,12 +19,12 @@
 
 enum class MemberRole : std::uint8_t { learner = 0, voter = 1 };
 
-/// One server of the cell.
+/// Identity, role and addresses of one server of the cell.
 struct Member {
   base::ServerId id;
   MemberRole role = MemberRole::learner;
-  base::Endpoint peerEndpoint;      ///< Internal protocol.
-  base::Endpoint resourceEndpoint;  ///< Resource API (HTTP).
+  base::Endpoint peerEndpoint;      ///< Address for the internal protocol.
+  base::Endpoint resourceEndpoint;  ///< Address of the resource API (HTTP).
   base::ZoneId zone;
 
   bool operator==(const Member&) const = default;
@@ -35,7 +35,8 @@
   }
 };
 
-/// The servers of a cell. One change at a time: two consecutive memberships differ by one voter.
+/// List of the servers of a cell. Only one change is made at a time: two consecutive memberships
+/// differ by one voter.
 struct Membership {
   std::vector<Member> members;
 
@@ -49,10 +50,11 @@
 
 enum class EntryType : std::uint8_t {
   noop = 0,        ///< First entry of a leader's term.
-  command = 1,     ///< Payload for the state machine.
-  membership = 2,  ///< Payload is an encoded Membership; in force as soon as it is appended.
+  command = 1,     ///< Payload is a command for the state machine.
+  membership = 2,  ///< Payload is an encoded Membership; takes effect once appended.
 };
 
+/// One entry of the replicated log, identified by its term and index.
 struct LogEntry {
   Term term = 0;
   LogIndex index = 0;
@@ -67,10 +69,11 @@
   }
 };
 
-/// Durable vote. Synced before any message that depends on it is sent.
+/// Current term and vote, which must survive a restart. Synced to disk before any message that
+/// depends on it is sent.
 struct HardState {
   Term term = 0;
-  base::ServerId votedFor;  ///< Zero: no vote in this term.
+  base::ServerId votedFor;  ///< Candidate voted for in this term; zero if none.
 
   bool operator==(const HardState&) const = default;
 
@@ -80,7 +83,7 @@
   }
 };
 
-/// State machine contents up to and including `lastIndex`.
+/// Snapshot of the state machine after applying the entries up to and including `lastIndex`.
 struct Snapshot {
   LogIndex lastIndex = 0;
   Term lastTerm = 0;
@@ -96,12 +99,13 @@
   }
 };
 
+/// RequestVote message of a candidate (or, with `preVote`, of a pre-candidate).
 struct VoteRequest {
-  Term term = 0;  ///< For a pre-vote, the term that the candidate would enter.
+  Term term = 0;  ///< Candidate's term; for a pre-vote, the term it would enter.
   LogIndex lastLogIndex = 0;
   Term lastLogTerm = 0;
   bool preVote = false;
-  bool leadershipTransfer = false;  ///< Set after a TimeoutNow: passes the leader lease check.
+  bool leadershipTransfer = false;  ///< Set after a TimeoutNow: bypasses the leader lease check.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -109,6 +113,7 @@
   }
 };
 
+/// Reply to a VoteRequest.
 struct VoteReply {
   Term term = 0;
   bool preVote = false;
@@ -120,12 +125,13 @@
   }
 };
 
+/// AppendEntries message of a leader; without entries it is a heartbeat or a commit update.
 struct AppendRequest {
   Term term = 0;
   LogIndex previousIndex = 0;
   Term previousTerm = 0;
   LogIndex commitIndex = 0;
-  std::uint64_t round = 0;  ///< Heartbeat round, echoed; confirms leadership for read indexes.
+  std::uint64_t round = 0;  ///< Heartbeat round, echoed in the reply to confirm leadership.
   std::vector<LogEntry> entries;
 
   template <class Archive>
@@ -134,11 +140,12 @@
   }
 };
 
+/// Reply to an AppendRequest.
 struct AppendReply {
   Term term = 0;
   bool accepted = false;
-  LogIndex matchIndex = 0;  ///< When accepted: last index known to equal the leader's.
-  LogIndex hintIndex = 0;   ///< When refused: the leader should try from here.
+  LogIndex matchIndex = 0;  ///< If accepted: last index up to which the log equals the leader's.
+  LogIndex hintIndex = 0;   ///< If refused: index from which the leader should retry.
   std::uint64_t round = 0;
 
   template <class Archive>
@@ -147,10 +154,11 @@
   }
 };
 
-/// One chunk of an encoded Snapshot, for a follower behind the leader's first log entry.
+/// One chunk of an encoded Snapshot, sent to a follower that needs entries which the leader has
+/// already compacted.
 struct SnapshotChunk {
   Term term = 0;
-  LogIndex lastIndex = 0;  ///< Identifies the snapshot.
+  LogIndex lastIndex = 0;  ///< Identifies the snapshot, together with `lastTerm`.
   Term lastTerm = 0;
   std::uint64_t offset = 0;
   std::uint64_t totalBytes = 0;
@@ -163,10 +171,11 @@
   }
 };
 
+/// Reply to a SnapshotChunk.
 struct SnapshotReply {
   Term term = 0;
   LogIndex lastIndex = 0;
-  std::uint64_t nextOffset = 0;  ///< Bytes received so far; `totalBytes` when installed.
+  std::uint64_t nextOffset = 0;  ///< Number of bytes received so far; `totalBytes` once installed.
   bool installed = false;
   std::uint64_t round = 0;
 
@@ -176,7 +185,7 @@
   }
 };
 
-/// The leader hands over: the receiver starts an election at once.
+/// Leadership transfer: the leader asks the receiver to start an election immediately.
 struct TimeoutNow {
   Term term = 0;
 
@@ -189,7 +198,7 @@
 using MessageBody = std::variant<VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotChunk,
                                  SnapshotReply, TimeoutNow>;
 
-/// A message between two servers of a cell.
+/// Envelope of a message between two servers of a cell.
 struct Message {
   base::ServerId from;
   base::ServerId to;
--- a/src/consensus/election.h
+++ b/src/consensus/election.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decisions about elections: when to start one, who voted, whether to grant a vote.
+/// Election rules: when to start an election, how votes are counted, when a vote is granted.
 
 #include <cstdint>
 #include <set>
@@ -12,21 +12,21 @@
 
 namespace walnut::consensus {
 
-/// Time since this server last heard from a leader.
+/// Election timeout, measured from the last contact with a leader.
 class ElectionTimer {
  public:
-  /// Begins as if a leader had been heard at `now`: before a restart one may have been, and its
-  /// lease must not be cut short.
+  /// Starts as if a leader had made contact at `now`: one may have done so just before a restart,
+  /// and the lease that this granted must not be cut short.
   ElectionTimer(const RaftOptions& options, std::uint64_t seed, base::TimePoint now);
 
-  /// A message from the current leader arrived.
+  /// Records that a message from the current leader arrived, and restarts the timeout.
   void leaderHeard(base::TimePoint now);
-  /// Draws a new deadline, as when a vote is granted or an election begins.
+  /// Draws a new deadline; also called when a vote is granted or an election begins.
   void restart(base::TimePoint now);
 
   base::TimePoint deadline() const { return deadline_; }
 
-  /// @return true while a leader's lease may still hold, so that no vote may be granted.
+  /// @return true while a leader's lease may still be valid, so that no vote may be granted.
   bool leaderMayHoldLease(base::TimePoint now) const;
 
  private:
@@ -37,27 +37,27 @@
   base::TimePoint deadline_;
 };
 
-/// Votes granted to this server in one election.
+/// Set of the votes granted to this server in one election.
 class VoteTally {
  public:
   void clear() { granted_.clear(); }
   void grant(base::ServerId voter) { granted_.insert(voter); }
-  /// @return true if a majority of the voters of `membership` granted theirs.
+  /// @return true if a majority of the voters of `membership` granted their vote.
   bool won(const Membership& membership) const;
 
  private:
   std::set<base::ServerId> granted_;
 };
 
-/// What a voter weighs.
+/// State of a voter on which its decision about a vote request depends.
 struct VoterState {
   HardState hardState;
   bool leaderMayHoldLease = false;
   const RaftLog& log;
 };
 
-/// @return true if the request's sender may get the vote. A vote in a later term is decided as if
-/// that term had been entered; pre-votes change no state, so several may be granted.
+/// @return true if the vote may be granted to the candidate. A vote in a later term is decided as
+/// if that term had been entered. Pre-votes change no state, so several may be granted.
 bool grantsVote(const VoterState& voter, base::ServerId candidate, const VoteRequest& request);
 
 }  // namespace walnut::consensus
--- a/src/consensus/heartbeat_rounds.h
+++ b/src/consensus/heartbeat_rounds.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Numbering of heartbeat rounds, the basis of read indexes and of the leader lease.
+/// Numbering of heartbeat rounds, on which read indexes and the leader lease are based.
 
 #include <cstdint>
 #include <deque>
@@ -10,34 +10,35 @@
 
 namespace walnut::consensus {
 
-/// Every message of a leader carries the number of the latest round, and its reply echoes it. A
-/// reply to round r proves that the follower still accepted this leader at some time after round r
-/// was opened. Numbers never repeat within a process, so those of an earlier leadership are lower.
+/// Counter of the heartbeat rounds of a leader, with their opening times. Every message of a leader
+/// carries the number of the latest round, and the reply echoes it. A reply to round r proves that
+/// the follower still accepted this leader at some time after round r was opened. Numbers never
+/// repeat within a process, so the rounds of an earlier leadership have lower numbers.
 class HeartbeatRounds {
  public:
-  /// Opens a round, unless one is open already. Its messages go out with the next outputs.
-  /// @return its number.
+  /// Opens a round, unless one is already open. Its messages are sent with the next outputs.
+  /// @return the number of the open round.
   std::uint64_t open(base::TimePoint now);
 
-  /// Closes the open round as its messages are produced.
-  /// @return true if there was one.
+  /// Closes the open round; called when its messages are produced.
+  /// @return true if a round was open.
   bool close();
 
-  /// Drops what belongs to a past leadership.
+  /// Closes the open round and removes all opening times; called when leadership ends.
   void clear();
 
   std::uint64_t latest() const { return latest_; }
 
-  /// @return when that round was opened; nothing if that was long ago.
+  /// @return the time at which the round was opened; nullopt if it is no longer recorded.
   std::optional<base::TimePoint> openedAt(std::uint64_t round) const;
 
-  /// Forgets rounds that were opened before `time`.
+  /// Removes the opening times of rounds that were opened before `time`.
   void forgetBefore(base::TimePoint time);
 
  private:
   std::uint64_t latest_ = 0;
   bool open_ = false;
-  std::deque<base::TimePoint> openedAt_;  // The last one is that of latest_.
+  std::deque<base::TimePoint> openedAt_;  // The last element belongs to latest_.
 };
 
 }  // namespace walnut::consensus
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -25,7 +25,7 @@
   return members;
 }
 
-/// @return the change from `before` to `after`, two states of one member.
+/// @return the change between two states of the same member, which must be a promotion.
 base::Result<MembershipChange> checkPromotion(const Member& before, const Member& after) {
   Member promoted = before;
   promoted.role = MemberRole::voter;
--- a/src/consensus/membership.h
+++ b/src/consensus/membership.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Memberships by log index, and the rules for changing them.
+/// History of memberships by log index, and the rules for membership changes.
 
 #include <algorithm>
 #include <cstdint>
@@ -17,8 +17,8 @@
 bool isVoter(const Membership& membership, base::ServerId server);
 std::vector<base::ServerId> votersOf(const Membership& membership);
 
-/// @return the value that a majority of the voters has reached: the greatest one that more than
-/// half of `values` are not below. The default value if there are no voters.
+/// @return the value that a majority of the voters has reached, which is the greatest value v such
+/// that more than half of `values` are >= v; the default value if there are no voters.
 template <class Value>
 Value majorityValue(std::vector<Value> values) {
   if (values.empty()) {
@@ -30,37 +30,39 @@
 
 enum class MembershipChangeKind : std::uint8_t { learnerAdded, learnerPromoted, memberRemoved };
 
-/// The one difference between two memberships.
+/// Difference between two consecutive memberships: one member.
 struct MembershipChange {
   MembershipChangeKind kind = MembershipChangeKind::learnerAdded;
   base::ServerId server;
 };
 
-/// @return how `next` differs from `current`; `outOfRange` unless exactly one learner is added, one
-/// learner promoted or one member removed, and a voter is left. One change at a time keeps every
-/// two consecutive majorities overlapping (Ongaro, "Consensus: Bridging Theory and Practice", 4.1).
+/// @return the difference between `current` and `next`; `outOfRange` unless exactly one learner is
+/// added, one learner is promoted or one member is removed, and at least one voter remains. With a
+/// single change at a time, the majorities of two consecutive memberships always overlap (Ongaro,
+/// "Consensus: Bridging Theory and Practice", 4.1).
 base::Result<MembershipChange> checkMembershipChange(const Membership& current,
                                                      const Membership& next);
 
+/// Membership with the index of its log entry.
 struct IndexedMembership {
-  LogIndex index = 0;  ///< Of its log entry; 0 if there never was one.
+  LogIndex index = 0;  ///< Index of the membership's log entry; 0 if it has none.
   Membership membership;
 };
 
-/// The memberships of the log that is held, so that a truncated entry's can be undone.
-/// Invariant: never empty; indexes increase.
+/// History of the memberships in the log that is kept in memory. A change whose entry is truncated
+/// is undone from it. Invariants: never empty; indexes increase.
 class MembershipHistory {
  public:
   explicit MembershipHistory(IndexedMembership base) { history_.push_back(std::move(base)); }
 
-  /// The latest in the log, committed or not.
+  /// @return the latest membership in the log, committed or not.
   const IndexedMembership& current() const { return history_.back(); }
-  /// @return the one in force at `index`, which is not below the oldest kept.
+  /// @return the membership in force at `index`, which must not be below the oldest one kept.
   const IndexedMembership& at(LogIndex index) const;
 
   void append(IndexedMembership membership) { history_.push_back(std::move(membership)); }
   void truncateFrom(LogIndex index);
-  /// Forgets those that were replaced at or before `index`.
+  /// Removes the memberships that were replaced at or before `index`.
   void dropUpTo(LogIndex index);
   void reset(IndexedMembership base);
 
--- a/src/consensus/persist_queue.cpp
+++ b/src/consensus/persist_queue.cpp
@@ -15,7 +15,7 @@
 
 void PersistQueue::logTruncated(LogIndex index) {
   if (index > handedIndex_) {
-    return;  // Storage never saw these entries.
+    return;  // The entries were never passed to storage.
   }
   handedIndex_ = index - 1;
   batchIndex_ = std::min(batchIndex_, handedIndex_);
--- a/src/consensus/persist_queue.h
+++ b/src/consensus/persist_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Collects what storage has to sync and knows what is durable.
+/// Queue of changes for storage, which also tracks which changes are durable.
 
 #include <optional>
 
@@ -9,37 +9,37 @@
 
 namespace walnut::consensus {
 
-/// Work for the storage between two batches. Invariants: at most one batch is out at a time;
-/// durableIndex() <= handedIndex_ <= last index of the log.
+/// Collects the changes that storage must write into the next batch, and tracks which are durable.
+/// Invariants: at most one batch is in flight; durableIndex() <= handedIndex_ <= last log index.
 class PersistQueue {
  public:
-  /// @param durable what recovery found on disk.
-  /// @param lastIndex last index of the recovered log.
+  /// @param durable hard state recovered from disk.
+  /// @param lastIndex index of the last entry of the recovered log.
   PersistQueue(const HardState& durable, LogIndex lastIndex);
 
   void hardStateChanged(const HardState& hardState);
-  /// The log lost its entries with index >= `index`.
+  /// Records that the log entries with an index >= `index` were removed.
   void logTruncated(LogIndex index);
-  /// The state machine's own snapshot; entries up to `compactTo` were dropped.
+  /// Records a snapshot of the local state machine; entries up to `compactTo` were removed.
   void snapshotTaken(const Snapshot& snapshot, LogIndex compactTo);
-  /// A snapshot from the leader took the place of the log.
+  /// Records that a snapshot from the leader replaced the log.
   void snapshotInstalled(const Snapshot& snapshot);
 
-  /// @return the next batch, also holding all entries of `log` that no earlier batch held.
+  /// @return the next batch, including all entries of `log` that were in no earlier batch.
   PersistBatch take(const RaftLog& log);
   void onPersisted();
 
   bool batchOut() const { return batchOut_; }
-  /// Every entry up to here is synced.
+  /// @return the index up to which all entries are synced.
   LogIndex durableIndex() const { return durableIndex_; }
   const HardState& durableHardState() const { return durableHardState_; }
 
  private:
-  PersistBatch pending_;  // Without entries: they stay in the log until taken.
-  LogIndex handedIndex_;  // Last index that was in a batch or was recovered.
+  PersistBatch pending_;  // Excludes entries: they stay in the log until `take`.
+  LogIndex handedIndex_;  // Last index that was put into a batch or recovered.
 
   bool batchOut_ = false;
-  LogIndex batchIndex_ = 0;  // handedIndex_ when the batch went out, lowered by truncation.
+  LogIndex batchIndex_ = 0;  // handedIndex_ at the last `take`, lowered by truncation.
   HardState batchHardState_;
 
   LogIndex durableIndex_;
--- a/src/consensus/progress.cpp
+++ b/src/consensus/progress.cpp
@@ -51,11 +51,11 @@
     return;
   }
   if (round > acceptedRound_ && hintIndex <= matchIndex_) {
-    // Not late: the follower has lost entries that it had synced. They are sent again and no longer
-    // count for commitment.
+    // The refusal is not a late one: the follower has lost entries that it had synced. They are
+    // sent again and no longer count towards commitment.
     matchIndex_ = std::max<LogIndex>(hintIndex, 1) - 1;
   }
-  // A refusal that arrives late may hint too low, which only costs a resend.
+  // The hint of a late refusal may be too low, which only causes entries to be sent again.
   nextIndex_ = std::max(matchIndex_ + 1, std::min(hintIndex, nextIndex_));
   state_ = ProgressState::probe;
   probeSent_ = false;
--- a/src/consensus/progress.h
+++ b/src/consensus/progress.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a leader knows of one follower's log and how fast it may send.
+/// Replication progress and flow control of a leader for one follower.
 
 #include <cstddef>
 #include <cstdint>
@@ -13,22 +13,24 @@
 
 namespace walnut::consensus {
 
-/// Transitions: probe -> replicate when an append is accepted; replicate -> probe when one is
-/// refused; probe, replicate -> snapshot when the next entry is no longer in the leader's log;
-/// snapshot -> replicate when the follower has reached the log again.
+/// Replication mode of a follower. Transitions: probe -> replicate when an append is accepted;
+/// replicate -> probe when one is refused; probe, replicate -> snapshot when the next entry is no
+/// longer in the leader's log; snapshot -> replicate when the follower's log reaches the leader's
+/// first entry again.
 enum class ProgressState : std::uint8_t {
-  probe,      ///< The follower's log is not known: one append at a time.
+  probe,      ///< The matching index is unknown: one append is sent at a time.
   replicate,  ///< Appends are pipelined.
   snapshot,   ///< Chunks of a snapshot are sent instead of entries.
 };
 
-/// Appends sent to a follower without an answer, at most. With 1 MiB each this bounds what a slow
-/// follower can cost; it covers the delay between zones at the batch size of one sync.
+/// Maximum number of unanswered appends per follower. At 1 MiB each, this bounds the cost of a
+/// slow follower; it covers the network delay between zones at the batch
+/// size of one sync.
 inline constexpr std::size_t kMaxAppendsInFlight = 16;
 
-/// Replication to one follower. Invariants: matchIndex() < nextIndex(); entries up to
-/// matchIndex() are synced by the follower. matchIndex() decreases only when the follower refuses,
-/// in a later round than it accepted in, what it had: its disk has lost the end of its log.
+/// Replication progress of one follower. Invariants: matchIndex() < nextIndex(); the follower has
+/// synced the entries up to matchIndex(). matchIndex() decreases only if the follower refuses
+/// entries that it accepted in an earlier round, which means that its disk lost the end of the log.
 class Progress {
  public:
   explicit Progress(LogIndex nextIndex) : nextIndex_(nextIndex) {}
@@ -39,28 +41,29 @@
 
   /// @return true if an append with entries may be sent now.
   bool mayAppend() const;
-  /// Notes that an append with the entries (nextIndex() - 1, lastSent] and `commitIndex` goes out.
+  /// Records that an append with the entries (nextIndex() - 1, lastSent] and `commitIndex` is sent.
   void appendSent(LogIndex lastSent, LogIndex commitIndex);
-  /// Lets a probe be repeated, since the former may be lost.
+  /// Allows the probe to be repeated, since the previous one may be lost.
   void heartbeatDue() { probeSent_ = false; }
-  /// @return true if the follower was not yet told of `commitIndex`.
+  /// @return true if `commitIndex` has not yet been sent to the follower.
   bool commitUnknown(LogIndex commitIndex) const;
 
-  /// The follower's log equals the leader's up to `matchIndex`.
-  /// @param round that the reply is to.
-  /// @param baseIndex of the leader's log.
+  /// Handles an accepted append: the follower's log equals the leader's up to `matchIndex`.
+  /// @param round heartbeat round of the request.
+  /// @param baseIndex base index of the leader's log.
   void onAccepted(LogIndex matchIndex, std::uint64_t round, LogIndex baseIndex);
-  /// The follower refused an append of `round` and asks for the entries from `hintIndex` on.
+  /// Handles a refused append of `round`; the follower requests the entries from `hintIndex` on.
   void onRefused(LogIndex hintIndex, std::uint64_t round);
 
   void beginSnapshot(std::shared_ptr<const EncodedSnapshot> snapshot);
-  /// Only in state snapshot.
+  /// May only be called in state `snapshot`.
   SnapshotSender& snapshotSender() { return *snapshotSender_; }
 
-  /// Notes a reply to `round`, which was opened at `openedAt` if that is still known.
+  /// Records a reply to `round`, which was opened at `openedAt` if that is still recorded.
   void onRoundConfirmed(std::uint64_t round, std::optional<base::TimePoint> openedAt);
   std::uint64_t confirmedRound() const { return confirmedRound_; }
-  /// When the latest round that the follower has answered was opened; TimePoint::min() if none.
+  /// @return the opening time of the latest round that the follower has answered;
+  /// TimePoint::min() if there is none.
   base::TimePoint confirmedAt() const { return confirmedAt_; }
 
  private:
@@ -69,11 +72,11 @@
   ProgressState state_ = ProgressState::probe;
   LogIndex matchIndex_ = 0;
   LogIndex nextIndex_;
-  bool probeSent_ = false;         // In state probe: an append is unanswered.
+  bool probeSent_ = false;         // In state probe: true while an append is unanswered.
   std::deque<LogIndex> inFlight_;  // In state replicate: last index of each unanswered append.
   LogIndex commitSent_ = 0;        // Highest commit index sent.
   std::optional<SnapshotSender> snapshotSender_;  // Present in state snapshot.
-  std::uint64_t acceptedRound_ = 0;  // Latest round with an accepted append or snapshot.
+  std::uint64_t acceptedRound_ = 0;  // Latest round in which an append or snapshot was accepted.
   std::uint64_t confirmedRound_ = 0;
   base::TimePoint confirmedAt_ = base::TimePoint::min();
 };
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Elections: pre-votes, votes, and their requests by others.
+/// Elections: pre-votes, votes, and the handling of vote requests from other servers.
 
 #include "consensus/raft_impl.h"
 
@@ -44,7 +44,7 @@
   }
 }
 
-/// A candidate's own vote counts like any other: once it is durable.
+/// Counts the candidate's own vote, which like any other vote counts only once it is durable.
 void RaftImpl::countOwnVote() {
   if (persistQueue_.durableHardState() == hardState_) {
     votes_.grant(self_);
--- a/src/consensus/raft_follower.cpp
+++ b/src/consensus/raft_follower.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Handling of a leader's messages.
+/// Handling of messages from a leader.
 
 #include <algorithm>
 
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// @return true if the entries follow each other and the previous position, have terms that the
-/// sender can have, are of known types and hold memberships that can be decoded.
+/// @return true if the entries are contiguous and follow the previous position, have terms that do
+/// not decrease or exceed the sender's, have known types and contain decodable memberships.
 bool wellFormed(const AppendRequest& request) {
   LogIndex index = request.previousIndex;
   Term term = request.previousTerm;
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-/// @return true if `from` is the leader of the current term, which may be entered by this.
+/// Accepts `from` as leader and enters `term`, if it is not older than the current term.
+/// @return true if `from` is now the leader that this server follows.
 bool RaftImpl::followLeader(base::ServerId from, Term term) {
   if (term < hardState_.term || (term == hardState_.term && isLeader())) {
     return false;
@@ -57,7 +58,7 @@
 AppendReply RaftImpl::applyAppend(const AppendRequest& request) {
   AppendReply reply;
   if (request.previousIndex < commitIndex_) {
-    // Committed entries are in the log of every later leader.
+    // Committed entries need no comparison: they are in the log of every later leader.
     reply.accepted = true;
     reply.matchIndex = commitIndex_;
     return reply;
@@ -78,13 +79,13 @@
     return log_.lastIndex() + 1;
   }
   if (previousIndex <= commitIndex_) {
-    return commitIndex_ + 1;  // A faulty sender; the entry may no longer be held.
+    return commitIndex_ + 1;  // Faulty sender; the entry may have been compacted.
   }
   return std::max(log_.startOfTermAt(previousIndex), commitIndex_ + 1);
 }
 
-/// Entries that are already held stay; the log is only cut at a conflict, since a message may be
-/// older than what is held.
+/// Appends the entries that are missing. The log is truncated only at a conflict, since the message
+/// may be older than the entries that the log already has.
 void RaftImpl::storeEntries(const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
     if (log_.matches(entry.index, entry.term)) {
@@ -118,7 +119,7 @@
 
 void RaftImpl::installSnapshot(const Snapshot& snapshot) {
   if (log_.matches(snapshot.lastIndex, snapshot.lastTerm)) {
-    advanceCommit(snapshot.lastIndex);  // The log already holds all of it.
+    advanceCommit(snapshot.lastIndex);  // The log already has all entries of the snapshot.
     return;
   }
   snapshot_ = snapshot;
--- a/src/consensus/raft_impl.cpp
+++ b/src/consensus/raft_impl.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// Term of the bootstrap entry; no leader is ever elected in it.
+/// Term of the bootstrap entry, in which no leader is ever elected.
 constexpr Term kBootstrapTerm = 1;
 
-/// Spreads server ids over the seeds, so that servers with one seed draw different timeouts.
+/// Multiplier that mixes the server id into the seed, so that servers configured with the same seed
+/// draw different timeouts.
 constexpr std::uint64_t kSeedSpread = 0x9e3779b97f4a7c15ULL;
 
 RaftOptions withSafeLease(RaftOptions options) {
@@ -48,7 +49,7 @@
       memberships_.append({entry.index, decodeMembership(entry.payload).value()});
     }
   }
-  // A crash between the entries and the hard state of one batch leaves the former term.
+  // A crash between the entries and the hard state of a batch leaves the previous term on disk.
   if (log_.lastTerm() > hardState_.term) {
     setHardState({log_.lastTerm(), base::ServerId{}});
   }
@@ -80,7 +81,7 @@
 
 void RaftImpl::receive(base::TimePoint now, const Message& message) {
   if (message.to != self_ || message.from == self_ || message.from == base::ServerId{}) {
-    return;  // Meant for another identity, such as that of a lost disk.
+    return;  // Addressed to another server id, such as that of a lost disk.
   }
   advanceTime(now);
   std::visit([&](const auto& body) { handle(message.from, body); }, message.body);
@@ -98,7 +99,7 @@
 void RaftImpl::compact(LogIndex appliedIndex, std::string data, std::size_t keepEntries) {
   const LogIndex former = snapshot_ ? snapshot_->lastIndex : 0;
   if (appliedIndex <= former || appliedIndex > appliedIndex_) {
-    return;  // Overtaken by an installed snapshot, or not applied yet.
+    return;  // A newer snapshot was installed, or the index is not applied yet.
   }
   const IndexedMembership& inForce = memberships_.at(appliedIndex);
   snapshot_ = Snapshot{appliedIndex, log_.termAt(appliedIndex).value_or(0), inForce.index,
@@ -123,7 +124,7 @@
 RaftOutputs RaftImpl::takeOutputs() {
   RaftOutputs outputs;
   if (persistQueue_.batchOut()) {
-    return outputs;  // The messages to come may depend on a batch that isn't synced yet.
+    return outputs;  // Further messages may depend on the batch, which is not synced yet.
   }
   if (isLeader()) {
     flushFollowers();
@@ -198,7 +199,7 @@
 
 bool RaftImpl::acceptReplyTerm(base::ServerId from, Term term) {
   const bool member = findMember(membership(), from) != nullptr;
-  if (term > hardState_.term && member) {  // A removed server must not unseat a leader.
+  if (term > hardState_.term && member) {  // A removed server must not depose a leader.
     becomeFollower(term, base::ServerId{});
     return false;
   }
--- a/src/consensus/raft_impl.h
+++ b/src/consensus/raft_impl.h
@@ -2,7 +2,7 @@
 /// @file
 /// Implementation of Raft (Ongaro and Ousterhout, 2014) with the extensions of Ongaro's thesis:
 /// pre-vote, check-quorum, leader lease, read index, one-at-a-time membership change, learners,
-/// hand-over of leadership, snapshots.
+/// leadership transfer, snapshots.
 
 #include <cstdint>
 #include <map>
@@ -22,36 +22,37 @@
 
 namespace walnut::consensus {
 
-/// A hand-over of leadership that is under way.
+/// Leadership transfer in progress.
 struct LeadershipTransfer {
   base::ServerId target;
-  base::TimePoint deadline;     ///< Then it is abandoned.
-  bool timeoutNowSent = false;  ///< From then on another leader may be elected at any time.
+  base::TimePoint deadline;     ///< Time at which the transfer is abandoned.
+  bool timeoutNowSent = false;  ///< If true, another leader may be elected at any time.
 };
 
-/// What exists only while this server leads.
+/// State that exists only while this server is leader.
 struct LeaderState {
-  std::map<base::ServerId, Progress> followers;  ///< All members but this server.
-  base::TimePoint since;
-  std::uint64_t firstRound = 0;   ///< Rounds before this one belong to an earlier leadership.
-  LogIndex firstOwnIndex = 0;     ///< The no-op entry that opened the term.
-  base::TimePoint nextHeartbeat;  ///< When the next round is opened.
+  std::map<base::ServerId, Progress> followers;  ///< All members except this server.
+  base::TimePoint since;                         ///< Time at which this server became leader.
+  std::uint64_t firstRound = 0;                  ///< Lower rounds belong to an earlier leadership.
+  LogIndex firstOwnIndex = 0;                    ///< Index of the no-op entry that opened the term.
+  base::TimePoint nextHeartbeat;                 ///< Time at which the next round is opened.
   std::optional<LeadershipTransfer> transfer;
-  /// Just removed from the membership; still served until that is committed, so that it learns of
-  /// its removal.
+  /// Server that is being removed from the membership. It still receives entries until the removal
+  /// is committed, so that it learns of its removal.
   std::optional<base::ServerId> departing;
 };
 
-/// Roles: follower -> preCandidate at the election timeout; preCandidate -> candidate with a
-/// majority of pre-votes; candidate -> leader with a majority of votes; any -> follower on a higher
-/// term, on a message from the term's leader, or (leader) when it loses its majority or membership.
-/// follower -> candidate on TimeoutNow; leader -> candidate when a hand-over failed.
+/// Raft implementation as a state machine over the roles. Transitions: follower -> preCandidate at
+/// the election timeout; preCandidate -> candidate with a majority of pre-votes;
+/// candidate -> leader with a majority of votes; any -> follower on a higher term, on a message
+/// from the term's leader, or (leader) when it loses its majority or membership.
+/// follower -> candidate on TimeoutNow; leader -> candidate when a leadership transfer fails.
 class RaftImpl final : public Raft {
  public:
   RaftImpl(const RaftOptions& options, RecoveredState recovered, std::uint64_t seed,
            base::TimePoint now);
 
-  /// Writes the first membership of a new cell as entry 1. All its servers write the same entry.
+  /// Appends the initial membership of a new cell as entry 1. All its servers write the same entry.
   void bootstrap(const Membership& membership);
 
   void tick(base::TimePoint now) override;
@@ -79,7 +80,8 @@
   void send(base::ServerId to, MessageBody body);
   const Membership& membership() const { return memberships_.current().membership; }
   bool isLeader() const { return role_ == Role::leader; }
-  /// @return true if a reply belongs to the current term. Enters a higher term of a member.
+  /// Enters the term of the reply if it is higher and the sender is a member.
+  /// @return true if the reply belongs to the current term.
   bool acceptReplyTerm(base::ServerId from, Term term);
 
   // Elections (raft_election.cpp).
@@ -127,31 +129,31 @@
   AppendRequest makeAppend(const Progress& progress, bool withEntries) const;
   std::shared_ptr<const EncodedSnapshot> encodedSnapshot();
 
-  const RaftOptions options_;  // checkQuorumTimeout <= electionTimeoutMin.
+  const RaftOptions options_;  // Invariant: checkQuorumTimeout <= electionTimeoutMin.
   const base::ServerId self_;
-  base::TimePoint now_;  // Latest time seen; never goes back.
+  base::TimePoint now_;  // Latest time passed in; never decreases.
 
   // Invariant: snapshot_->lastIndex <= appliedIndex_ <= commitIndex_ <= log_.lastIndex(), and
   // log_.baseIndex() <= snapshot_->lastIndex.
   HardState hardState_;
-  std::optional<Snapshot> snapshot_;  // Latest one, for followers that are behind the log.
-  std::shared_ptr<const EncodedSnapshot> encodedSnapshot_;  // Of snapshot_, once needed.
+  std::optional<Snapshot> snapshot_;  // Latest snapshot, for followers that are behind the log.
+  std::shared_ptr<const EncodedSnapshot> encodedSnapshot_;  // snapshot_, encoded on demand.
   RaftLog log_;
   MembershipHistory memberships_;
   LogIndex commitIndex_ = 0;
-  LogIndex appliedIndex_ = 0;  // Handed to the state machine.
+  LogIndex appliedIndex_ = 0;  // Last index passed to the state machine.
 
   PersistQueue persistQueue_;
   std::vector<Message> messages_;      // For the next outputs.
   std::optional<Snapshot> installed_;  // For the next outputs.
 
   Role role_ = Role::follower;
-  base::ServerId leader_;  // Of the current term; zero if unknown.
+  base::ServerId leader_;  // Leader of the current term; zero if unknown.
   ElectionTimer electionTimer_;
   VoteTally votes_;
   SnapshotReceiver snapshotReceiver_;
   HeartbeatRounds rounds_;
-  std::optional<LeaderState> leaderState_;  // Present exactly while role_ is leader.
+  std::optional<LeaderState> leaderState_;  // Set if and only if role_ is leader.
 };
 
 }  // namespace walnut::consensus
--- a/src/consensus/raft_leader.cpp
+++ b/src/consensus/raft_leader.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Duties of a leader: commitment, check-quorum, lease, reads, membership, hand-over.
+/// Tasks of a leader: commitment, check-quorum, lease, reads, membership changes, leadership
+/// transfer.
 
 #include <algorithm>
 
@@ -55,7 +56,7 @@
   if (!isLeader()) {
     return false;
   }
-  // After TimeoutNow, the voters that keep the lease no longer refuse the target their votes.
+  // After TimeoutNow the voters grant the target their votes in spite of the lease.
   if (leaderState_->transfer && leaderState_->transfer->timeoutNowSent) {
     return false;
   }
@@ -63,8 +64,9 @@
   return confirmed != base::TimePoint::min() && now < confirmed + options_.checkQuorumTimeout;
 }
 
-/// @return a time at which a majority still accepted this leader; TimePoint::min() if none is
-/// known. A reply counts from the time that its request's round was opened, not from its arrival.
+/// @return the latest time at which a majority is known to have accepted this leader;
+/// TimePoint::min() if there is none. A reply counts from the time at which its request's round was
+/// opened, not from its arrival.
 base::TimePoint RaftImpl::quorumConfirmedAt() const {
   std::vector<base::TimePoint> times;
   for (const base::ServerId voter : votersOf(membership())) {
@@ -95,8 +97,8 @@
   return rounds_.open(now_);
 }
 
-/// The present commit index may be higher than that at `beginRead`, which is as good: it was
-/// reached after the read began.
+/// Returns the current commit index. It may be higher than the one at `beginRead`, which is equally
+/// correct, since it includes everything that was committed when the read began.
 base::Result<std::optional<LogIndex>> RaftImpl::readReady(std::uint64_t token) {
   if (!isLeader() || token < leaderState_->firstRound) {
     return notLeader();
@@ -150,14 +152,16 @@
   const bool awaited = progress->state() == ProgressState::snapshot &&
                        progress->snapshotSender().lastIndex() == reply.lastIndex;
   if (awaited && reply.installed) {
-    progress->beginSnapshot(encodedSnapshot());  // The log has moved on: a newer one is needed.
+    // The log was compacted further in the meantime: a newer snapshot is needed.
+    progress->beginSnapshot(encodedSnapshot());
   } else if (awaited) {
     progress->snapshotSender().onReply(reply.nextOffset, reply.round);
   }
 }
 
-/// Only entries of the own term are committed by counting (Raft, section 5.4.2); this server's own
-/// log counts as far as it is synced.
+/// Advances the commit index to what a majority has synced. Only entries of the leader's own term
+/// are committed by counting (Raft paper, section 5.4.2). This server's log counts as far as it is
+/// synced.
 void RaftImpl::updateCommitIndex() {
   std::vector<LogIndex> synced;
   for (const base::ServerId voter : votersOf(membership())) {
@@ -171,7 +175,8 @@
   }
 }
 
-/// Once a removal is committed, tells the removed server; if it is this one, gives up leadership.
+/// Notifies the removed server once its removal is committed. If this server itself was removed, it
+/// resigns leadership.
 void RaftImpl::finishRemoval() {
   if (memberships_.current().index > commitIndex_) {
     return;
@@ -195,8 +200,8 @@
   if (!isLeader() || leaderState_->transfer) {
     return notLeader();
   }
-  // Ongaro, raft-dev, 10 July 2015: without a committed entry of the own term, two leaders could
-  // make changes whose majorities do not overlap.
+  // Without a committed entry of the leader's own term, two leaders could make changes whose
+  // majorities do not overlap (Ongaro, raft-dev mailing list, 10 July 2015).
   const bool ownEntryCommitted = commitIndex_ >= leaderState_->firstOwnIndex;
   if (memberships_.current().index > commitIndex_ || !ownEntryCommitted) {
     return base::Error{base::ErrorCode::membershipChangePending, "membership",
@@ -212,7 +217,8 @@
   return log_.lastIndex();
 }
 
-/// A learner that is far behind or silent would hold up commitment once its vote is needed.
+/// Checks that the learner is responsive and its log nearly complete: otherwise it would delay
+/// commitment once its vote is needed.
 base::Result<void> RaftImpl::checkPromotionReady(base::ServerId learner) const {
   const Progress& progress = leaderState_->followers.at(learner);
   if (!followerActive(progress)) {
@@ -243,7 +249,8 @@
   }
 }
 
-/// @return the voter whose log is furthest, among those that answer; nothing if there is none.
+/// @return the voter with the highest matching index among the responsive ones; nullopt if there
+/// are none.
 std::optional<base::ServerId> RaftImpl::mostUpToDateVoter() const {
   std::optional<base::ServerId> best;
   for (const auto& [server, progress] : leaderState_->followers) {
@@ -268,8 +275,9 @@
   }
 }
 
-/// A TimeoutNow that was sent may still arrive, so this term's lease can't be trusted again. This
-/// server then leads on in a new term, in which the message is void.
+/// Ends a failed transfer. If TimeoutNow was sent, it may still arrive, so the lease can't be
+/// trusted again in this term. This server then stands for election in a new term, in which the
+/// message is invalid.
 void RaftImpl::abandonTransfer() {
   if (!leaderState_->transfer->timeoutNowSent) {
     leaderState_->transfer.reset();
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages of a leader to its followers. They are made when outputs are taken, so that all that
-/// was proposed since the last sync goes out together.
+/// Messages of a leader to its followers. They are created when the outputs are taken, so that all
+/// entries proposed since the last sync are sent together.
 
 #include "consensus/raft_impl.h"
 #include "walnut/consensus/codec.h"
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -33,7 +33,7 @@
   if (nextOffset > snapshot_->bytes.size()) {
     return;
   }
-  // A reply to a later round than the data's shows that the data, or all of it, was lost.
+  // A reply to a later round than that of the data shows that the data was lost, in part or whole.
   const bool dataLost = round > dataRound_;
   if (nextOffset > offset_ || dataLost) {
     offset_ = nextOffset;
--- a/src/consensus/snapshot_transfer.h
+++ b/src/consensus/snapshot_transfer.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Streaming of an encoded snapshot in chunks. The follower's replies say how many bytes it has,
-/// and the leader goes on from there, so that lost, repeated or reordered messages only cost time.
+/// Transfer of an encoded snapshot in chunks. The follower's replies contain the number of bytes
+/// received, and the leader continues from there, so that lost, repeated or reordered messages only
+/// cause delay.
 
 #include <cstddef>
 #include <cstdint>
@@ -13,15 +14,15 @@
 
 namespace walnut::consensus {
 
-/// A snapshot as it is sent; shared by all followers that need it.
+/// Snapshot in its encoded form, shared by the transfers to all followers that need it.
 struct EncodedSnapshot {
   LogIndex lastIndex = 0;
   Term lastTerm = 0;
   std::string bytes;
 };
 
-/// The leader's side, for one follower. One chunk is outstanding at a time; a chunk without data
-/// takes the place of the heartbeat and makes the follower say what it has.
+/// Sender of a snapshot to one follower, used by the leader. One chunk is in flight at a time. A
+/// chunk without data serves as the heartbeat and makes the follower report how much it received.
 class SnapshotSender {
  public:
   explicit SnapshotSender(std::shared_ptr<const EncodedSnapshot> snapshot)
@@ -29,18 +30,19 @@
 
   LogIndex lastIndex() const { return snapshot_->lastIndex; }
 
-  /// @return bytes that the follower is known to have.
+  /// @return the number of bytes that the follower is known to have received.
   std::uint64_t offset() const { return offset_; }
 
   /// @return true if data must be sent now.
   bool dataDue() const { return dataDue_; }
 
-  /// @return the next chunk with data; `round` is the latest heartbeat round.
+  /// @return the next chunk with data.
+  /// @param round latest heartbeat round.
   SnapshotChunk takeData(Term term, std::uint64_t round, std::size_t maxBytes);
   /// @return a chunk without data.
   SnapshotChunk probe(Term term, std::uint64_t round) const;
 
-  /// Handles a reply that tells that `nextOffset` bytes have arrived.
+  /// Handles a reply, according to which the follower has received `nextOffset` bytes.
   void onReply(std::uint64_t nextOffset, std::uint64_t round);
 
  private:
@@ -48,33 +50,33 @@
 
   std::shared_ptr<const EncodedSnapshot> snapshot_;
   std::uint64_t offset_ = 0;
-  std::uint64_t dataRound_ = 0;  // Round in which data was last sent.
+  std::uint64_t dataRound_ = 0;  // Heartbeat round in which data was last sent.
   bool dataDue_ = true;
 };
 
-/// The follower's side: at most one snapshot is being received.
+/// Receiver of a snapshot, used by a follower. Receives at most one snapshot at a time.
 class SnapshotReceiver {
  public:
-  /// Takes in a chunk of the current term's leader. One of an older snapshot of that leader is
-  /// ignored; one of a newer snapshot or another leader starts afresh.
-  /// @return the whole snapshot once its last byte has arrived.
+  /// Handles a chunk from the leader of the current term. A chunk of an older snapshot from the
+  /// same leader is ignored; one of a newer snapshot or from another leader restarts the transfer.
+  /// @return the complete snapshot once its last byte has arrived.
   std::optional<Snapshot> receive(const SnapshotChunk& chunk);
 
-  /// @return the bytes received of that snapshot.
+  /// @return the number of bytes received of the chunk's snapshot.
   std::uint64_t nextOffset(const SnapshotChunk& chunk) const;
 
-  /// Drops what was received.
+  /// Discards the received data.
   void clear();
 
  private:
   bool isCurrent(const SnapshotChunk& chunk) const;
 
   bool active_ = false;
-  Term term_ = 0;  // Of the leader that sends.
+  Term term_ = 0;  // Term of the sending leader.
   LogIndex lastIndex_ = 0;
   Term lastTerm_ = 0;
   std::uint64_t totalBytes_ = 0;
-  std::string received_;  // A prefix of the encoded snapshot.
+  std::string received_;  // Prefix of the encoded snapshot received so far.
 };
 
 }  // namespace walnut::consensus
--- a/src/consensus/validation.h
+++ b/src/consensus/validation.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Checks of decoded values that the archive can't make: it reads any byte into an enumeration.
+/// Validation of decoded enumerations: the archive itself accepts any byte as an enum value.
 
 #include <algorithm>
 
@@ -8,8 +8,8 @@
 
 namespace walnut::consensus {
 
-/// @return true for a type of this version. An entry of another type must not reach the log: it
-/// could not be read back.
+/// @return true if this version knows the type. An entry of an unknown type must not be written to
+/// the log, since it could not be read back.
 inline bool isKnown(EntryType type) { return type <= EntryType::membership; }
 
 inline bool isKnown(MemberRole role) { return role <= MemberRole::voter; }
--- a/test/consensus/cluster.cpp
+++ b/test/consensus/cluster.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr base::Duration kFaultTime = 15s;
-/// Many election timeouts: enough for a healed cell to elect, catch up and commit.
+/// Many election timeouts, enough for a healed cell to elect a leader, replicate and commit.
 constexpr base::Duration kHealTime = 30s;
 constexpr base::Duration kHealStep = 500ms;
-/// A message may be held up for longer than an election.
+/// Maximum delay of a late message, longer than an election.
 constexpr base::Duration kLateDelay = 3s;
 
 }  // namespace
--- a/test/consensus/cluster.h
+++ b/test/consensus/cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A whole cell in virtual time, with network, crashes and an operator drawn by seed.
+/// Simulation of a whole cell in virtual time. Network, crashes and operator are drawn by seed.
 
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace walnut::consensus::test {
 
-/// What happened in a run, to show that the faults were reached.
+/// Counts of the events in a run, which show that all kinds of faults occurred.
 struct ClusterCounts {
   std::uint64_t elections = 0;
   std::uint64_t applied = 0;
@@ -33,21 +33,21 @@
   std::string describe() const;
 };
 
-/// See the file's comment. The same seed gives the same run.
+/// Simulated cell with fault injection. Deterministic: the same seed gives the same run.
 class Cluster {
  public:
   Cluster(std::uint64_t seed, std::uint64_t voters);
 
-  /// Runs with faults for a while, heals, and waits until every member has applied a last command.
-  /// @return the first broken rule of safety or liveness; empty if there is none.
+  /// Runs with faults for a while, heals, and waits until all members have applied the same log.
+  /// @return the first violated safety or liveness property; empty if there is none.
   std::string run();
 
   const ClusterCounts& counts() const { return counts_; }
 
  private:
   using Action = std::function<void()>;
-  using Link = std::pair<base::ServerId, base::ServerId>;  // From, to.
-  /// Chances of one message, drawn for the whole run.
+  using Link = std::pair<base::ServerId, base::ServerId>;  // Sender, receiver.
+  /// Probabilities of faults per message, drawn once for the whole run.
   struct Network {
     double drop = 0;
     double duplicate = 0;
--- a/test/consensus/cluster_checker.h
+++ b/test/consensus/cluster_checker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Safety rules of a whole cell, checked as it runs.
+/// Checker of the safety properties of a whole cell while it runs.
 
 #include <cstdint>
 #include <map>
@@ -12,38 +12,41 @@
 
 namespace walnut::consensus::test {
 
-/// Rules: one leader a term; log matching; a committed entry is in the log of every later leader;
-/// all servers apply the same entries, each once and in order; terms never decrease and a vote is
-/// never changed; a read sees all that was applied anywhere before it began; no leader has a lease
-/// beside a later leader.
+/// Records the first violation of a safety property. Properties: at most one leader per term; log
+/// matching; a committed entry is in the log of every later leader; all servers apply the same
+/// entries, each once and in order; terms never decrease and a vote is never changed; a read sees
+/// everything that any server applied before the read began; no leader has a lease while there is a
+/// leader of a later term.
 class ClusterChecker {
  public:
-  /// A server was seen leading, with this log (durable and being synced).
+  /// Checks a server that is leader with this log, including the batch that is being synced.
   void onLeader(base::ServerId server, Term term, const RecoveredState& log);
-  /// A durable state changed.
+  /// Checks a change of a server's durable state.
   void onPersisted(base::ServerId server, const RecoveredState& before,
                    const RecoveredState& after);
-  /// A server of this term applied the entry, and its state machine then had this digest.
+  /// Checks that an entry was applied by a server in this term; `digest` is that of the resulting
+  /// state.
   void onApplied(base::ServerId server, Term term, const LogEntry& entry, std::uint64_t digest);
-  /// A server's state machine was replaced.
+  /// Checks a replacement of a server's state machine by a snapshot.
   void onInstalled(base::ServerId server, const Snapshot& snapshot, std::uint64_t digest);
   void onRead(base::ServerId server, LogIndex appliedBefore, LogIndex readIndex);
   void onLease(base::ServerId server, Term term, base::ServerId other, Term otherTerm);
 
   void require(bool holds, base::ServerId server, const std::string& rule);
 
-  /// @return the number of entries that any server has applied.
+  /// @return the highest index that any server has applied.
   LogIndex committed() const { return entries_.size(); }
-  /// @return the first broken rule, or nothing.
+  /// @return the first violated property; empty if there is none.
   const std::string& violation() const { return violation_; }
 
  private:
+  /// Entry that some server has applied; it was committed in `seenInTerm` or before.
   struct Committed {
     LogEntry entry;
     std::uint64_t digest = 0;
-    Term seenInTerm = 0;  // Of the first server that applied it: committed in this term or before.
+    Term seenInTerm = 0;  // Term of the first server that applied the entry.
   };
-  /// What must be equal wherever index and term are.
+  /// Data that must be equal in all logs for the same index and term (log matching).
   struct Stored {
     LogEntry entry;
     Term previousTerm = 0;
@@ -55,7 +58,7 @@
   std::string violation_;
 };
 
-/// @return the entry at `index`, or null if the state doesn't hold it.
+/// @return the entry at `index`, or null if the state doesn't contain it.
 const LogEntry* entryAt(const RecoveredState& state, LogIndex index);
 
 }  // namespace walnut::consensus::test
--- a/test/consensus/cluster_faults.cpp
+++ b/test/consensus/cluster_faults.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Faults, load and the operator of a simulated cell.
+/// Fault injection, load and operator actions of a simulated cell.
 
 #include <algorithm>
 #include <utility>
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// Bounds the servers that a run makes.
+/// Maximum number of servers created in a run.
 constexpr std::size_t kMaxServers = 14;
 
 }  // namespace
 
 void Cluster::scheduleFaults() {
-  // Quiet runs matter: with fresh entries, the check of the log hides a broken lease.
+  // Half of the runs have little load: with recent entries, the log comparison in elections would
+  // hide a faulty lease.
   const base::Duration proposalInterval = random_.chance(0.5) ? 60ms : 3s;
   every(5ms, proposalInterval, [this] { propose(); });
   const base::Duration faultInterval = random_.between(200ms, 2s);
@@ -71,7 +72,7 @@
   }
 }
 
-/// Power is lost at most servers at once.
+/// Crashes most servers at once, as in a power failure.
 void Cluster::crashMany() {
   for (ClusterServer* server : select([](ClusterServer& each) { return each.running(); })) {
     if (random_.chance(0.7)) {
@@ -106,8 +107,8 @@
   });
 }
 
-/// What arrived meanwhile is handled at once, before any tick: the process doesn't know yet how
-/// late it is.
+/// Resumes a frozen server. Messages that arrived meanwhile are handled before any tick, since the
+/// process doesn't know yet how much time has passed.
 void Cluster::thaw(ClusterServer& server) {
   if (!server.running() || !server.frozen) {
     return;
@@ -148,7 +149,8 @@
   });
 }
 
-/// A voter's disk may be lost if no other loss is being repaired; then a majority keeps its data.
+/// @return true if no other disk loss is being repaired, so that a majority keeps its data even if
+/// a voter loses its disk.
 bool Cluster::mayLoseDisk() {
   ClusterServer* leader = pickLeader();
   if (leader == nullptr || servers_.size() >= kMaxServers) {
@@ -211,7 +213,8 @@
   }
 }
 
-/// Repairs a loss; else promotes learners, and now and then adds or removes a member.
+/// Draws the operator's next membership: replaces a member with a lost disk, otherwise promotes a
+/// learner, and occasionally adds or removes a member.
 Membership Cluster::drawMembership(const Membership& current) {
   Membership next = current;
   const auto lost = std::find_if(next.members.begin(), next.members.end(),
--- a/test/consensus/cluster_server.cpp
+++ b/test/consensus/cluster_server.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Pads the state, so that a snapshot takes many chunks.
+/// Size to which the state is padded, so that a snapshot takes many chunks.
 constexpr std::size_t kStateBytes = 300;
-/// FNV-1a.
+/// Prime of the FNV-1a hash.
 constexpr std::uint64_t kDigestPrime = 0x100000001b3ULL;
 
 std::uint64_t addToDigest(std::uint64_t digest, std::string_view bytes) {
--- a/test/consensus/cluster_server.h
+++ b/test/consensus/cluster_server.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One server of a simulated cell: consensus, disk and a state machine.
+/// One server of a simulated cell: consensus logic, disk and state machine.
 
 #include <cstdint>
 #include <deque>
@@ -16,13 +16,13 @@
 
 namespace walnut::consensus::test {
 
-/// A read that waits for its index.
+/// Read whose index is not confirmed yet.
 struct PendingRead {
   std::uint64_t token = 0;
-  LogIndex appliedBefore = 0;  ///< Applied anywhere when it began.
+  LogIndex appliedBefore = 0;  ///< Highest index applied by any server when it began.
 };
 
-/// The driver's part of one server. Its life begins with `start` and ends with `crash`.
+/// Server process with its driver. An incarnation begins with `start` and ends with `crash`.
 class ClusterServer {
  public:
   ClusterServer(base::ServerId id, ClusterChecker& checker)
@@ -30,38 +30,39 @@
 
   void start(const RaftOptions& options, const Membership& bootstrap, std::uint64_t seed,
              base::TimePoint now);
-  /// Dies; of a batch that is being synced, a drawn prefix is durable.
+  /// Stops the process. If a batch is being synced, a random prefix of it becomes durable.
   void crash(base::Random& random);
 
   base::ServerId id() const { return id_; }
   bool running() const { return raft_ != nullptr; }
   bool acts() const { return running() && !frozen; }
   Raft& raft() { return *raft_; }
-  /// Counts the starts; events of an earlier life are void.
+  /// Number of starts; events scheduled in an earlier incarnation are ignored.
   std::uint64_t life() const { return life_; }
   LogIndex applied() const { return applied_; }
   bool syncing() const { return syncing_.has_value(); }
 
-  /// Takes outputs.
-  /// @return true if a batch must now be synced; else the outputs are in `release`.
+  /// Takes the outputs of the consensus logic.
+  /// @return true if a batch must now be synced; otherwise `release` may be called at once.
   bool takeOutputs();
-  /// The batch is durable.
+  /// Makes the batch that is being synced durable.
   void finishSync();
-  /// @return the messages that may go out, after all that is committed was applied.
+  /// Applies the committed entries.
+  /// @return the messages that may now be sent.
   std::vector<Message> release(base::TimePoint now);
 
-  /// @return true if `release` will replace the running state machine by a leader's snapshot.
+  /// @return true if `release` will replace the state machine with a leader's snapshot.
   bool installsSnapshot() const { return ready_.installed && applied_ > 0; }
 
-  /// Hands the state in for compaction.
+  /// Passes a snapshot of the state to the consensus logic for compaction.
   void compact(std::size_t keepEntries);
   void beginRead(base::TimePoint now);
 
   bool frozen = false;
-  bool lost = false;         ///< Its disk is gone for good.
-  std::deque<Message> held;  ///< Arrived while it was frozen.
+  bool lost = false;         ///< Its disk is lost permanently.
+  std::deque<Message> held;  ///< Messages that arrived while frozen.
   bool syncDoneWhileFrozen = false;
-  base::TimePoint wakeup = base::kNever;  ///< When its next tick is scheduled.
+  base::TimePoint wakeup = base::kNever;  ///< Time of the next scheduled tick.
 
  private:
   void persist(const PersistBatch& batch, std::size_t effects);
@@ -76,9 +77,9 @@
   std::uint64_t life_ = 0;
   std::optional<RaftOutputs> syncing_;
   RaftOutputs ready_;
-  bool synced_ = false;  // ready_ holds a batch that the consensus must be told of.
+  bool synced_ = false;  // ready_ has a synced batch not yet reported.
   LogIndex applied_ = 0;
-  std::uint64_t digest_ = 0;  // Of all that was applied.
+  std::uint64_t digest_ = 0;  // Digest of all applied entries.
   std::deque<PendingRead> reads_;
 };
 
--- a/test/consensus/cluster_test.cpp
+++ b/test/consensus/cluster_test.cpp
@@ -1,12 +1,12 @@
 /// @file
-/// Property test of a whole cell. WALNUT_CONSENSUS_SEEDS sets the number of seeds,
-/// WALNUT_CONSENSUS_FIRST_SEED the first one, to repeat a failure.
+/// Property test of a whole cell. WALNUT_CONSENSUS_SEEDS sets the number of seeds and
+/// WALNUT_CONSENSUS_FIRST_SEED the first seed, with which a failure can be reproduced.
 
 #include "consensus/cluster.h"
 
 #include <cstdlib>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -21,7 +21,7 @@
   return value == nullptr ? otherwise : std::strtoull(value, nullptr, 10);
 }
 
-/// Runs all seeds and prints what they reached.
+/// Runs a cell with each seed and prints the total counts of faults and events.
 void runSeeds(std::uint64_t voters) {
   const std::uint64_t first = fromEnvironment("WALNUT_CONSENSUS_FIRST_SEED", 1);
   const std::uint64_t seeds = fromEnvironment("WALNUT_CONSENSUS_SEEDS", kDefaultSeeds);
--- a/test/consensus/codec_test.cpp
+++ b/test/consensus/codec_test.cpp
@@ -8,7 +8,7 @@
 #include "consensus/test_server.h"
 #include "walnut/base/random.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// One format: a sample, and a decoder that tells the code and, if it succeeds, encodes again.
+/// Format under test: a sample, and a decoder that reports the error code or, if it succeeds,
+/// encodes the value again.
 struct Format {
   const char* name;
   std::string sample;
@@ -54,7 +55,7 @@
   CHECK_TRUE_TEXT(recoded.error().code == base::ErrorCode::malformedInput, format.name);
 }
 
-/// Whatever can be decoded must be the only encoding of its value.
+/// Checks that bytes which can be decoded are the canonical encoding of their value.
 void checkRefusedOrCanonical(const Format& format, const std::string& bytes) {
   const auto recoded = format.recode(bytes);
   if (recoded) {
--- a/test/consensus/hand_over_test.cpp
+++ b/test/consensus/hand_over_test.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// Hand-over of leadership (TimeoutNow) and read indexes.
+/// Tests of leadership transfer (TimeoutNow) and read indexes.
 
 #include "consensus/test_messages.h"
 #include "consensus/test_server.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -21,7 +21,7 @@
 TEST_GROUP(HandOverTest) {
   TestServer server{1, makeMembership(3)};
   Term term = 0;
-  std::uint64_t round = 1;  // The latest heartbeat round.
+  std::uint64_t round = 1;  // Latest heartbeat round.
 
   void setup() override {
     server.elect();
@@ -32,7 +32,7 @@
     server.receive(follower, makeAccepted(term, server.status().lastIndex, round));
   }
 
-  /// @return to whom TimeoutNow was sent since the last call; zero if to nobody.
+  /// @return the server to which TimeoutNow was sent since the last call; zero if there is none.
   std::uint64_t timeoutNowTarget() {
     for (const Message& message : server.takeSent()) {
       if (std::holds_alternative<TimeoutNow>(message.body)) {
@@ -165,7 +165,7 @@
     return token.value();
   }
 
-  /// @return the index; zero while unconfirmed.
+  /// @return the read index; zero while leadership is unconfirmed.
   LogIndex ready(std::uint64_t token) {
     const auto index = server.raft().readReady(token);
     CHECK_TRUE(index.has_value());
--- a/test/consensus/lost_tail_test.cpp
+++ b/test/consensus/lost_tail_test.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// A follower that comes back without the end of its log, which it had acknowledged.
+/// Tests with a follower that lost acknowledged entries at the end of its log, and restarts.
 
 #include "consensus/test_messages.h"
 #include "consensus/test_server.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -24,7 +24,7 @@
   leader.receive(kFollower, reply);
 }
 
-/// @return the last append to the follower.
+/// @return the last append sent to the follower.
 AppendRequest lastAppend(TestServer& leader) {
   std::optional<AppendRequest> last;
   for (const Message& message : leader.takeSent()) {
@@ -57,7 +57,7 @@
   const AppendRequest again = lastAppend(leader);
   CHECK_EQUAL(committed - 1, again.previousIndex);
   CHECK_EQUAL(1U, again.entries.size());
-  CHECK_EQUAL_TEXT(committed, leader.status().commitIndex, "what is committed stays committed");
+  CHECK_EQUAL_TEXT(committed, leader.status().commitIndex, "the commit index must not decrease");
 
   leader.wake();
   refuse(leader, lastAppend(leader), committed - 1);
--- a/test/consensus/membership_change_test.cpp
+++ b/test/consensus/membership_change_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Membership changes at a leader and at a follower.
+/// Tests of membership changes on a leader and on a follower.
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 #include "consensus/test_server.h"
 #include "walnut/consensus/codec.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -76,14 +76,14 @@
   twice.members.push_back(twice.members.back());
   const Membership cases[] = {
       initial,                                    // No difference.
-      with(initial, 4, MemberRole::voter),        // Not a learner first.
-      with(withLearner, 5, MemberRole::learner),  // Two at once.
-      without(withLearner, 2),                    // Two at once.
-      without(without(initial, 2), 3),            // Two at once.
-      with(initial, 2, MemberRole::learner),      // A voter made a learner.
-      moved,                                      // An address changed in place.
-      twice,                                      // Listed twice.
-      with(initial, 0, MemberRole::learner),      // No id.
+      with(initial, 4, MemberRole::voter),        // A new member as voter.
+      with(withLearner, 5, MemberRole::learner),  // Two changes.
+      without(withLearner, 2),                    // Two changes.
+      without(without(initial, 2), 3),            // Two changes.
+      with(initial, 2, MemberRole::learner),      // Demotion of a voter.
+      moved,                                      // Changed address.
+      twice,                                      // Duplicate member.
+      with(initial, 0, MemberRole::learner),      // Member without id.
       Membership{},                               // No voter left.
   };
   for (const Membership& each : cases) {
@@ -108,7 +108,7 @@
 }
 
 TEST(MembershipChangeTest, aNewLeaderWaitsForAnEntryOfItsOwnTerm) {
-  // The membership itself was committed by an earlier leader. Ongaro, raft-dev, 10 July 2015.
+  // An earlier leader committed the current membership (Ongaro, raft-dev, 10 July 2015).
   TestServer fresh(1, initial);
   fresh.receive(2, makeAppend(2, kBootstrap, {}, 1));
   CHECK_EQUAL(1U, fresh.status().commitIndex);
@@ -149,7 +149,7 @@
   }
   server.drain();
   commitAll();
-  const std::uint64_t round = 1;  // The latest: no heartbeat was due yet.
+  const std::uint64_t round = 1;  // Latest round, since no heartbeat was due yet.
   server.receive(4, makeAccepted(term, 2, round));
   CHECK_TRUE_TEXT(change(promoted).error().code == base::ErrorCode::outOfRange, "behind");
   server.receive(4, makeAccepted(term, 10, round));
--- a/test/consensus/memory_disk.h
+++ b/test/consensus/memory_disk.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// In-memory stand-in for LogStorage that can crash in the middle of a batch.
+/// In-memory replacement for LogStorage that can crash in the middle of a batch.
 
 #include <cstddef>
 
@@ -8,16 +8,16 @@
 
 namespace walnut::consensus::test {
 
-/// What one server has synced.
+/// Simulated disk: the synced state of one server.
 class MemoryDisk {
  public:
   explicit MemoryDisk(base::ServerId self) { state_.self = self; }
 
   /// Syncs a whole batch.
   void persist(const PersistBatch& batch) { persistPrefix(batch, effectCount(batch)); }
-  /// Syncs only the first `effects` effects of a batch, as when the process dies within it.
+  /// Syncs only the first `effects` effects of a batch, as in a crash during the sync.
   void persistPrefix(const PersistBatch& batch, std::size_t effects);
-  /// @return how many effects a batch has: each entry is one of its own.
+  /// @return the number of effects of a batch; each entry counts as one.
   static std::size_t effectCount(const PersistBatch& batch);
 
   RecoveredState recover() const { return state_; }
@@ -25,7 +25,7 @@
   LogIndex lastIndex() const;
 
  private:
-  RecoveredState state_;  // Entries begin after the snapshot.
+  RecoveredState state_;  // Its entries begin after the snapshot.
 };
 
 }  // namespace walnut::consensus::test
--- a/test/consensus/persist_queue_test.cpp
+++ b/test/consensus/persist_queue_test.cpp
@@ -2,7 +2,7 @@
 
 #include "consensus/test_messages.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
--- a/test/consensus/replication_test.cpp
+++ b/test/consensus/replication_test.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// Handlers of AppendRequest at a follower and of AppendReply at a leader.
+/// Tests how a follower handles AppendRequest and a leader handles AppendReply.
 
 #include "consensus/test_messages.h"
 #include "consensus/test_server.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -16,7 +16,7 @@
 
 constexpr LogPosition kBootstrap{1, 1};
 
-/// A follower whose log is: 1 of term 1, 2 to 4 of term 2, 5 to 7 of term 3.
+/// Follower whose log holds entry 1 of term 1, entries 2 to 4 of term 2 and 5 to 7 of term 3.
 TestServer makeFollower(LogIndex commitIndex = 0) {
   TestServer server(1, makeMembership(3));
   server.receive(2, makeAppend(2, kBootstrap, makeEntries(2, 2, 4)));
@@ -82,9 +82,9 @@
     LogIndex hint;
   };
   const Case cases[] = {
-      {{20, 4}, 0, 8},                  // Past the end: the first index that is missing.
+      {{20, 4}, 0, 8},                  // Past the end: hints at the first missing index.
       {{8, 3}, 0, 8},  {{7, 4}, 0, 5},  // Conflict: the whole term is skipped.
-      {{6, 2}, 0, 5},  {{4, 3}, 0, 2}, {{7, 4}, 6, 7},  // Never below what is committed.
+      {{6, 2}, 0, 5},  {{4, 3}, 0, 2}, {{7, 4}, 6, 7},  // Never below the commit index.
   };
   for (const Case& each : cases) {
     TestServer server = makeFollower(each.commitIndex);
@@ -117,7 +117,7 @@
 
 TEST(FollowerTest, commitGoesNoFurtherThanWhatIsKnownToMatch) {
   TestServer server = makeFollower();
-  // The follower's 6 and 7 may differ from this leader's.
+  // The follower's entries 6 and 7 may differ from this leader's.
   server.receive(3, makeAppend(4, {5, 3}, {}, 7));
   CHECK_EQUAL(5U, server.status().commitIndex);
   CHECK_EQUAL(5U, server.applied().size());
@@ -152,14 +152,14 @@
 
 TEST(FollowerTest, malformedRequestsAreIgnored) {
   std::vector<AppendRequest> requests;
-  requests.push_back(makeAppend(5, {7, 3}, makeEntries(4, 9, 9)));  // A gap.
-  requests.push_back(makeAppend(5, {7, 3}, makeEntries(6, 8, 8)));  // A term to come.
-  requests.push_back(makeAppend(5, {7, 3}, makeEntries(2, 8, 8)));  // A term that decreases.
-  requests.push_back(makeAppend(5, {7, 6}, {}));                    // Position of a later term.
+  requests.push_back(makeAppend(5, {7, 3}, makeEntries(4, 9, 9)));  // Gap in the indexes.
+  requests.push_back(makeAppend(5, {7, 3}, makeEntries(6, 8, 8)));  // Term too high.
+  requests.push_back(makeAppend(5, {7, 3}, makeEntries(2, 8, 8)));  // Decreasing term.
+  requests.push_back(makeAppend(5, {7, 6}, {}));                    // Previous term too high.
   requests.push_back(makeAppend(5, {7, 3}, makeEntries(4, 8, 9)));
-  requests.back().entries[1].type = EntryType::membership;  // Can't be decoded.
+  requests.back().entries[1].type = EntryType::membership;  // Payload can't be decoded.
   requests.push_back(makeAppend(5, {7, 3}, makeEntries(4, 8, 8)));
-  requests.back().entries[0].type = static_cast<EntryType>(3);  // Unknown.
+  requests.back().entries[0].type = static_cast<EntryType>(3);  // Unknown type.
   for (const AppendRequest& request : requests) {
     TestServer server = makeFollower();
     server.receive(3, request);
@@ -173,7 +173,7 @@
   TestServer server = makeFollower(7);
   server.raft().compact(7, "state", 0);
   server.drain();
-  server.restart();  // Its log in memory now begins behind the snapshot.
+  server.restart();  // The in-memory log now begins after the snapshot.
   server.takeSent();
   server.receive(3, makeAppend(5, {7, 4}, {}));
   const AppendReply reply = onlyReply(server);
@@ -219,7 +219,7 @@
     return index.value();
   }
 
-  /// @return the last append that was sent to `follower`.
+  /// @return the last append sent to `follower`.
   AppendRequest lastAppendTo(std::uint64_t follower) {
     std::optional<AppendRequest> found;
     for (const Message& message : server.takeSent()) {
@@ -262,7 +262,7 @@
 }
 
 TEST(LeaderTest, entriesOfEarlierTermsAreNotCommittedByCounting) {
-  // Figure 8 of the Raft paper: 2 and 3 are in the log from an earlier term.
+  // Figure 8 of the Raft paper: entries 2 and 3 are in the log from an earlier term.
   TestServer follower(1, makeMembership(3));
   follower.receive(2, makeAppend(2, kBootstrap, makeEntries(2, 2, 3)));
   follower.elect();
@@ -297,7 +297,7 @@
 
 TEST(LeaderTest, repliesThatDoNotCount) {
   const LogIndex index = propose();
-  server.receive(2, makeAccepted(term - 1, index));  // Of an earlier term.
+  server.receive(2, makeAccepted(term - 1, index));  // Earlier term.
   server.receive(2, makeAccepted(term, index + 1));  // Past the end of the log.
   server.receive(9, makeAccepted(term, index));      // Not a member.
   server.receive(9, makeAccepted(term + 4, index));
--- a/test/consensus/snapshot_transfer_test.cpp
+++ b/test/consensus/snapshot_transfer_test.cpp
@@ -4,7 +4,7 @@
 #include "consensus/test_server.h"
 #include "walnut/consensus/codec.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -27,7 +27,7 @@
   return snapshot;
 }
 
-/// @return the chunks of the snapshot as a leader of `term` sends them.
+/// @return the chunks of the snapshot as the leader of `term` sends them.
 std::vector<SnapshotChunk> chunksOf(const Snapshot& snapshot, Term term) {
   const std::string bytes = encodeSnapshot(snapshot);
   std::vector<SnapshotChunk> chunks;
@@ -168,7 +168,7 @@
   };
   std::vector<SnapshotChunk> otherIndex = chunks;
   for (SnapshotChunk& chunk : otherIndex) {
-    chunk.lastIndex = 21;  // Not that of the encoded snapshot.
+    chunk.lastIndex = 21;  // Differs from the index in the encoded snapshot.
   }
   check(otherIndex);
   std::vector<SnapshotChunk> longer = chunks;
@@ -188,7 +188,7 @@
   Term term = 0;
   std::uint64_t round = 0;
 
-  /// A leader whose log begins after index 12, and whose follower 3 has nothing.
+  /// Sets up a leader whose log begins after index 12 and whose follower 3 has an empty log.
   void setup() override {
     RaftOptions options;
     options.snapshotChunkBytes = kChunkBytes;
--- a/test/consensus/test_messages.h
+++ b/test/consensus/test_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Short forms of messages for the handler tests.
+/// Factory functions for the messages used in the handler tests.
 
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace walnut::consensus::test {
 
-/// @return command entries [from, to] of one term.
+/// @return the command entries [from, to], all of the same term.
 inline std::vector<LogEntry> makeEntries(Term term, LogIndex from, LogIndex to) {
   std::vector<LogEntry> entries;
   for (LogIndex index = from; index <= to; ++index) {
@@ -19,7 +19,7 @@
   return entries;
 }
 
-/// Position of an entry in a log.
+/// Index and term of a log entry.
 struct LogPosition {
   LogIndex index = 0;
   Term term = 0;
--- a/test/consensus/test_server.h
+++ b/test/consensus/test_server.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One server whose outputs are carried out at once, for tests of single handlers.
+/// Test fixture: one server whose outputs are carried out immediately, for tests of handlers.
 
 #include <memory>
 #include <optional>
@@ -23,7 +23,7 @@
   return member;
 }
 
-/// @return a membership of the voters 1 to `voters`.
+/// @return a membership with the voters 1 to `voters`.
 inline Membership makeMembership(std::uint64_t voters) {
   Membership membership;
   for (std::uint64_t id = 1; id <= voters; ++id) {
@@ -32,7 +32,8 @@
   return membership;
 }
 
-/// Server with a fake clock and a disk; collects what it sends and applies.
+/// Server with a simulated clock and disk; records the messages that it sends and the entries that
+/// it applies.
 class TestServer {
  public:
   TestServer(std::uint64_t id, const Membership& bootstrap, const RaftOptions& options = {})
@@ -40,7 +41,7 @@
     start(bootstrap);
   }
 
-  /// Carries out all outputs, until there are none.
+  /// Carries out the outputs until there are no more.
   void drain() {
     for (bool more = true; more;) {
       RaftOutputs outputs = raft_->takeOutputs();
@@ -66,7 +67,7 @@
     raft_->tick(now_);
     drain();
   }
-  /// Lets time pass until the next wakeup.
+  /// Advances the clock to the next wakeup.
   void wake() { advance(raft_->nextWakeup() - now_); }
 
   void receive(std::uint64_t from, MessageBody body) {
@@ -74,10 +75,10 @@
     drain();
   }
 
-  /// Restarts from what is on disk.
+  /// Restarts the server with the state on its disk.
   void restart() { start({}); }
 
-  /// Makes a server of a cell of three or more leader, with the votes of 2 and, if need be, 3.
+  /// Makes the server leader of a cell of three or more, with the votes of 2 and, if needed, 3.
   void elect() {
     wake();
     for (const bool preVote : {true, false}) {
@@ -91,7 +92,7 @@
     }
   }
 
-  /// Accepts everything that was sent to `follower`, as that server.
+  /// Replies on behalf of `follower`, accepting all appends that were sent to it.
   void acknowledge(std::uint64_t follower) {
     for (const Message& message : takeSent()) {
       const auto* request = std::get_if<AppendRequest>(&message.body);
@@ -107,7 +108,7 @@
     }
   }
 
-  /// @return the bodies of kind `Body` sent since the last call, with those of other kinds dropped.
+  /// @return the message bodies of type `Body` sent since the last call; discards all others.
   template <class Body>
   std::vector<Body> takeSentBodies() {
     std::vector<Body> bodies;
--- a/test/consensus/vote_test.cpp
+++ b/test/consensus/vote_test.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// Handlers of VoteRequest and VoteReply, and what becomes of a vote in a crash.
+/// Tests how VoteRequest and VoteReply are handled, and whether votes survive a crash.
 
 #include "consensus/test_messages.h"
 #include "consensus/test_server.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -14,12 +14,13 @@
 
 namespace {
 
-/// The bootstrap entry.
+/// Position of the bootstrap entry.
 constexpr LogPosition kBootstrap{1, 1};
-/// Past the least election timeout, before the first timeout is drawn: no lease, no candidate.
+/// Delay after which the lease is over but the server's own election timeout is not reached yet.
 constexpr base::Duration kLeaseOver = 500ms;
 
-/// A server of three that hears nobody, past the lease and before its own election.
+/// Makes a server in a cell of three that has no contact to others, at a time after the lease and
+/// before its own election.
 TestServer makeIdleServer() {
   RaftOptions options;
   options.electionTimeoutMax = 10s;
