--- a/include/walnut/storage/file_system.h
+++ b/include/walnut/storage/file_system.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The few file operations that the storage needs. The real one is POSIX; the simulator's loses
-/// unsynced data, tears writes and loses whole disks.
+/// File system interface with the operations that storage needs. The production implementation is
+/// POSIX; the simulator's implementation loses unsynced data, tears writes and loses whole disks.
 
 #include <cstdint>
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace walnut::storage {
 
-/// A file opened for appending. Data is durable only after `sync`.
+/// File opened for appending. Appended data is durable only after `sync`.
 class AppendFile {
  public:
   virtual ~AppendFile() = default;
@@ -21,16 +21,17 @@
   virtual base::Result<void> sync() = 0;
 };
 
-/// One flat folder. Creation, rename and removal are durable only after `syncFolder`.
+/// Operations on the files of one folder without subfolders. Creation, rename and removal are
+/// durable only after `syncFolder`.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  /// @return the names of the files in the folder, in no order.
+  /// @return the names of the files in the folder, in no particular order.
   virtual base::Result<std::vector<std::string>> list() = 0;
   virtual base::Result<std::string> read(const std::string& name) = 0;
-  /// Creates the file or opens it at its end.
+  /// Opens the file for appending at its end; creates it if it is absent.
   virtual base::Result<std::unique_ptr<AppendFile>> openForAppend(const std::string& name) = 0;
-  /// Cuts the file to `bytes` and syncs it.
+  /// Truncates the file to `bytes` bytes and syncs it.
   virtual base::Result<void> truncate(const std::string& name, std::uint64_t bytes) = 0;
   virtual base::Result<void> rename(const std::string& from, const std::string& to) = 0;
   virtual base::Result<void> remove(const std::string& name) = 0;
--- a/include/walnut/storage/log_storage.h
+++ b/include/walnut/storage/log_storage.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Durable log, vote and snapshot of one server.
+/// Interface to the durable state of one server: log, vote and snapshot.
 
 #include "walnut/base/error.h"
 #include "walnut/base/ids.h"
@@ -8,20 +8,21 @@
 
 namespace walnut::storage {
 
-/// Storage behind the consensus logic. A batch is durable when `persist` returns; after a crash
-/// within `persist`, `recover` yields some prefix of the batch's effects, never a mixture.
-/// Owned and called by one thread. After an error the process must stop: the state on disk is
-/// unknown until the next `recover`.
+/// Durable storage of the consensus logic. A batch is durable when `persist` returns. After a crash
+/// during `persist`, `recover` returns the state after some prefix of the batch's effects, never a
+/// mixture. Owned and called by one thread. After an error the process must stop: the state on disk
+/// is unknown until the next `recover`.
 class LogStorage {
  public:
   virtual ~LogStorage() = default;
 
-  /// Reads the folder; a torn tail of the last segment is cut off, damage anywhere else is
-  /// `corruptFile`.
-  /// @param freshIdentity used if the folder holds none yet, and made durable before returning.
+  /// Reads the state from the folder. A torn tail of the last segment is truncated; damage anywhere
+  /// else is reported as `corruptFile`.
+  /// @param freshIdentity identity to use if the folder has none yet; made durable before
+  /// returning.
   virtual base::Result<consensus::RecoveredState> recover(base::ServerId freshIdentity) = 0;
 
-  /// Writes and syncs the batch, in the order that PersistBatch gives.
+  /// Writes and syncs the batch, in the order given at PersistBatch.
   virtual base::Result<void> persist(const consensus::PersistBatch& batch) = 0;
 };
 
--- a/src/storage/checked_block.cpp
+++ b/src/storage/checked_block.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMagic = 0x4c54554e4c415731;  // "1WALNUTL" in the file.
+constexpr std::uint64_t kMagic = 0x4c54554e4c415731;  // Bytes "1WALNUTL" in the file.
 
 struct BlockHeader {
   std::uint64_t magic = kMagic;
--- a/src/storage/log_storage.cpp
+++ b/src/storage/log_storage.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Storage over four kinds of files: "identity", "vote", "snapshot" and the segments "log-*".
+/// Log storage in files of four types: "identity", "vote", "snapshot" and the segments "log-*".
 ///
-/// A batch takes effect in these steps, each durable before the next and each whole or absent after
-/// a crash: the snapshot file (which also tells from which segment the log continues, so that
-/// replacing the log is the same step), one frame with truncation and entries, the vote file,
-/// removal of segments.
+/// A batch takes effect in the following steps. Each is durable before the next begins, and each is
+/// atomic with respect to crashes: writing the snapshot file (which also contains the first segment
+/// of the log that continues it, so that replacing the log is part of the same step), one frame
+/// with truncation and entries, the vote file, removal of segments.
 class SegmentedLogStorage : public LogStorage {
  public:
   SegmentedLogStorage(FileSystem& files, std::uint64_t segmentBytes)
@@ -48,7 +48,7 @@
     if (names.contains(kSnapshotFile)) {
       state.snapshot = std::move(snapshot.snapshot);
     }
-    // A rename that recovery relied on may not have been synced before the crash.
+    // A rename on which recovery relied may not have been synced before the crash.
     BOOST_OUTCOME_TRY(files_.syncFolder());
     recovered_ = true;
     return state;
@@ -75,7 +75,8 @@
   }
 
  private:
-  /// Checks that a folder without an identity never had one, and that one is given. Writes nothing.
+  /// Checks that a folder without an identity never had one, and that a new one is given. Writes
+  /// nothing.
   base::Result<void> checkFresh(const FileNames& names, base::ServerId freshIdentity) {
     for (const std::string& name : names) {
       if (name == kSnapshotFile || segmentNumberOf(name) != 0) {
@@ -94,8 +95,8 @@
     return base::success();
   }
 
-  /// Gives the folder an identity. The vote file comes first, so that a folder with an identity and
-  /// without a vote is known to have lost it.
+  /// Initializes the folder with an identity. The vote file is written first, so that a folder
+  /// which has an identity but no vote file is known to have lost the latter.
   base::Result<void> initialise(FileNames& names, base::ServerId freshIdentity) {
     BOOST_OUTCOME_TRY(stateFiles_.writeVote({}));
     BOOST_OUTCOME_TRY(stateFiles_.writeIdentity(freshIdentity));
@@ -103,7 +104,7 @@
     return base::success();
   }
 
-  /// @return the snapshot file, or its default if there is none.
+  /// @return the contents of the snapshot file, or defaults if there is none.
   base::Result<SnapshotFile> recoverSnapshot(const FileNames& names) {
     if (names.contains(kSnapshotFile)) {
       return stateFiles_.readSnapshot();
@@ -133,7 +134,7 @@
   FileSystem& files_;
   StateFiles stateFiles_;
   SegmentedLog log_;
-  bool recovered_ = false;  // False also from the start of a persist until its success.
+  bool recovered_ = false;  // Also false during `persist`, and after it failed.
 };
 
 }  // namespace
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -18,17 +18,17 @@
 namespace {
 
 constexpr mode_t kFileMode = 0640;
-/// Greatest file that is read. Above the greatest snapshot file and the greatest segment.
+/// Maximum size of a file to read; above the maximum sizes of snapshot files and segments.
 constexpr std::uint64_t kMaxFileBytes = 2ULL << 30U;
 
-/// @return a `fileError` with the text of `errno`.
+/// @return a `fileError` with the message for `errno`.
 base::Error systemError(const std::string& name, const char* operation) {
   const std::string text = std::generic_category().message(errno);
   return base::Error{base::ErrorCode::fileError, name, std::string(operation) + ": " + text};
 }
 
 base::Result<void> syncDescriptor(const FileDescriptor& file, const std::string& name) {
-  // A failed sync is not tried again: the kernel may have dropped the dirty pages.
+  // A failed sync is not retried: the kernel may have dropped the dirty pages.
   if (::fsync(file.get()) != 0) {
     return systemError(name, "fsync");
   }
@@ -61,7 +61,7 @@
   std::string name_;
 };
 
-/// Reads until `bytes` is full or the file ends.
+/// Reads until `bytes` is full or the end of the file is reached.
 base::Result<void> readAll(const FileDescriptor& file, const std::string& name,
                            std::string& bytes) {
   std::size_t done = 0;
@@ -82,7 +82,7 @@
   return base::success();
 }
 
-/// Creates the folder, durably, if it is absent.
+/// Creates the folder if it is absent, and syncs its parent.
 base::Result<void> createFolder(const std::filesystem::path& folder) {
   std::error_code failure;
   if (!std::filesystem::create_directories(folder, failure) || failure) {
@@ -111,7 +111,8 @@
 }
 
 base::Result<std::vector<std::string>> PosixFileSystem::list() {
-  // A stream of its own: closing it closes its descriptor, and the lock must stay.
+  // Uses a separate descriptor, since closing the stream closes it, and the lock on the folder's
+  // own descriptor must be kept.
   const int descriptor = ::openat(folder_.get(), ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (descriptor < 0) {
     return systemError("", "open folder");
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// The real file system over one folder. The folder is locked for as long as the object lives, so
-/// that two processes never write the same log; the kernel frees the lock when the process dies.
+/// POSIX implementation of the file system interface for one folder. The folder is locked during
+/// the object's lifetime, so that two processes never write the same log; the kernel releases the
+/// lock when the process exits.
 
 #include <memory>
 #include <string>
@@ -11,7 +12,7 @@
 
 namespace walnut::storage {
 
-/// Owned descriptor.
+/// Owner of a file descriptor, which it closes on destruction.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int descriptor) : descriptor_(descriptor) {}
@@ -26,8 +27,8 @@
   int descriptor_;
 };
 
-/// Files by `openat` relative to the locked folder. All methods fail with `fileError`; `read` also
-/// with `inputTooLarge`, before it allocates.
+/// File operations relative to the descriptor of the locked folder (`openat`). All methods report
+/// failures as `fileError`; `read` also reports `inputTooLarge`, before it allocates.
 class PosixFileSystem : public FileSystem {
  public:
   explicit PosixFileSystem(FileDescriptor folder) : folder_(std::move(folder)) {}
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -16,21 +16,22 @@
 
 namespace {
 
-constexpr std::uint32_t kFrameMagic = 0x524d5257;  // "WRMR" in the file.
+constexpr std::uint32_t kFrameMagic = 0x524d5257;  // Bytes "WRMR" in the file.
 constexpr std::string_view kNamePrefix = "log-";
 constexpr std::size_t kNameDigits = 16;
 
 struct FrameHeader {
   std::uint32_t magic = kFrameMagic;
   std::uint32_t payloadBytes = 0;
-  /// Of the frame's place. Checked first, so that the search for intact frames doesn't hash the
-  /// rest of the file at each copy of the magic number, which a command may hold.
+  /// Checksum of segment number, offset and size. Checked first, so that the search for intact
+  /// frames doesn't hash the rest of the file at each copy of the magic number, since a command may
+  /// contain such copies.
   std::uint64_t placeChecksum = 0;
-  std::uint64_t checksum = 0;  // Of the payload, seeded with placeChecksum.
+  std::uint64_t checksum = 0;  // Checksum of the payload, with placeChecksum as seed.
 };
 static_assert(sizeof(FrameHeader) == 24, "the header is written as it is in memory");
 
-/// Payload of a frame as cereal writes it.
+/// Payload of a frame in its serialized form (cereal).
 struct FramePayload {
   consensus::LogIndex truncateFrom = 0;
   std::vector<std::string> entries;
@@ -41,7 +42,7 @@
   }
 };
 
-/// Where a frame is.
+/// Location and size of a frame.
 struct FramePlace {
   SegmentNumber number = 0;
   std::uint64_t offset = 0;
@@ -54,7 +55,7 @@
   return XXH3_64bits_withSeed(payload.data(), payload.size(), placeChecksum);
 }
 
-/// A frame whose checksum is right.
+/// Frame with a valid checksum, not yet decoded.
 struct RawFrame {
   std::string_view payload;
   std::uint64_t checksum = 0;
@@ -80,7 +81,7 @@
   return RawFrame{payload, header.checksum};
 }
 
-/// @return true if an intact frame begins anywhere at or behind `offset`.
+/// @return true if an intact frame begins anywhere at or after `offset`.
 bool intactFrameBehind(SegmentNumber number, std::string_view bytes, std::uint64_t offset) {
   const std::string_view magic(reinterpret_cast<const char*>(&kFrameMagic), sizeof(kFrameMagic));
   std::size_t candidate = bytes.find(magic, offset);
@@ -180,7 +181,7 @@
     const auto raw = readFrame(number, bytes, segment.intactBytes);
     auto frame = raw ? decodeFrame(raw->payload) : std::nullopt;
     if (!frame) {
-      // An intact checksum over a payload that can't be decoded was never written by us.
+      // This software never writes a payload that can't be decoded under a valid checksum.
       segment.end = raw ? SegmentEnd::damaged : SegmentEnd::torn;
       break;
     }
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -115,7 +115,7 @@
   if (parsed.headerIntact) {
     return files_.truncate(name, parsed.intactBytes);
   }
-  // Nothing of the segment was ever synced: it is created anew.
+  // No part of the segment was ever synced, so it is removed and created again.
   return files_.remove(name);
 }
 
@@ -125,7 +125,7 @@
   }
   BOOST_OUTCOME_TRY(file, files_.openForAppend(segmentFileName(segments_.back().number)));
   last_ = std::move(file);
-  // The tail may have been read from the system's cache; what recovery returns must be durable.
+  // The tail may have been read from the page cache, but recovered entries must be durable.
   return last_->sync();
 }
 
@@ -194,7 +194,7 @@
 base::Result<void> SegmentedLog::replacedBy(consensus::LogIndex snapshotIndex) {
   last_.reset();
   for (const Segment& segment : segments_) {
-    // Needs no folder sync: segments below the snapshot's first one are void in any case.
+    // Needs no folder sync: recovery ignores segments below the snapshot's first segment.
     BOOST_OUTCOME_TRY(files_.remove(segmentFileName(segment.number)));
   }
   segments_.clear();
--- a/src/storage/segmented_log.h
+++ b/src/storage/segmented_log.h
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// The log as a row of segment files.
+/// Write-ahead log in a sequence of segment files.
 ///
-/// The log is a journal of frames: a truncation is a frame of its own and never rewrites a file, so
-/// that it takes effect as a whole or not at all. Replaying the frames in order gives the entries.
+/// The log is a journal of frames. A truncation is part of a frame and never rewrites a file, so
+/// that it takes effect atomically. Replaying the frames in order yields the entries.
 ///
 /// Invariants: a segment is synced before the next one is created; at most the last segment has a
-/// torn tail; numbers of live segments have no gap; a segment is removed only if a snapshot covers
-/// every entry it ever held, and only after all older ones are durably removed.
+/// torn tail; the numbers of existing segments have no gap; a segment is removed only if a snapshot
+/// covers every entry it ever held, and only after all older segments are durably removed.
 
 #include <memory>
 #include <vector>
@@ -19,36 +19,38 @@
 
 namespace walnut::storage {
 
-/// Appends to and replays the segments of one folder.
+/// Log of one folder: appends to, replays and removes its segments.
 class SegmentedLog {
  public:
   SegmentedLog(FileSystem& files, std::uint64_t segmentBytes)
       : files_(files), segmentBytes_(segmentBytes) {}
 
-  /// Reads all segments, cuts off a torn tail of the last one and makes durable what is left.
-  /// @param names the files in the folder.
-  /// @param firstSegment segments below it are void and are removed.
-  /// @param snapshotIndex entries up to here are not returned.
-  /// @return the entries from snapshotIndex + 1.
+  /// Reads all segments, truncates a torn tail of the last one and syncs the remainder.
+  /// @param names names of the files in the folder.
+  /// @param firstSegment number of the first valid segment; lower ones are removed.
+  /// @param snapshotIndex last index covered by the snapshot.
+  /// @return the entries from snapshotIndex + 1 on.
   base::Result<std::vector<consensus::LogEntry>> recover(const FileNames& names,
                                                          SegmentNumber firstSegment,
                                                          consensus::LogIndex snapshotIndex);
 
   /// Appends and syncs one frame.
-  /// @return `internal`, with nothing written, if it would leave a gap in the log.
+  /// @return `internal`, with nothing written, if the frame would leave a gap in the log.
   base::Result<void> append(const LogFrame& frame);
 
-  /// @return the number of the oldest segment that continues a snapshot up to the log's end.
+  /// @return the number of the oldest segment; the log from there on continues the snapshot.
   SegmentNumber firstSegment() const;
-  /// @return the number of the segment with which a log that replaces this one would begin.
+  /// @return the number of the first segment of a log that would replace this one.
   SegmentNumber nextSegment() const { return nextNumber_; }
   consensus::LogIndex lastIndex() const { return lastIndex_; }
 
-  /// Notes that a durable snapshot covers entries that the log goes beyond.
+  /// Records that a durable snapshot covers the entries up to `snapshotIndex`, which is below the
+  /// last index of the log.
   void coveredBy(consensus::LogIndex snapshotIndex) { snapshotIndex_ = snapshotIndex; }
-  /// Forgets all entries, after the snapshot that replaces them has become durable.
+  /// Removes all entries; called once the snapshot that replaces them is durable.
   base::Result<void> replacedBy(consensus::LogIndex snapshotIndex);
-  /// Removes old segments whose entries are all at or below `index` and covered by the snapshot.
+  /// Removes the oldest segments, as long as all their entries are <= `index` and covered by the
+  /// snapshot.
   base::Result<void> removeUpTo(consensus::LogIndex index);
 
  private:
@@ -56,7 +58,7 @@
     SegmentNumber number = 0;
     std::uint64_t bytes = 0;
     std::uint64_t lastChecksum = 0;
-    consensus::LogIndex greatestIndex = 0;  // Of all entries that it ever held.
+    consensus::LogIndex greatestIndex = 0;  // Highest index of all entries ever written to it.
   };
 
   base::Result<std::vector<SegmentNumber>> selectSegments(const FileNames& names,
@@ -74,11 +76,11 @@
 
   FileSystem& files_;
   std::uint64_t segmentBytes_;
-  std::vector<Segment> segments_;     // Oldest first.
-  std::unique_ptr<AppendFile> last_;  // Open file of segments_.back(); absent if there is none.
-  SegmentNumber nextNumber_ = 1;      // Of the segment to create next.
+  std::vector<Segment> segments_;     // Ordered from oldest to newest.
+  std::unique_ptr<AppendFile> last_;  // File of segments_.back(); null if there is none.
+  SegmentNumber nextNumber_ = 1;      // Number of the next segment to create.
   consensus::LogIndex snapshotIndex_ = 0;
-  consensus::LogIndex lastIndex_ = 0;  // Of the log, or of the snapshot if that is greater.
+  consensus::LogIndex lastIndex_ = 0;  // Last index of log or snapshot, the higher one.
 };
 
 }  // namespace walnut::storage
--- a/src/storage/state_files.h
+++ b/src/storage/state_files.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The small files that are replaced as a whole: identity, vote, snapshot. Each is written to a
-/// temporary file, synced, renamed over the old one, and the folder is synced.
+/// Files that are replaced atomically: identity, vote and snapshot. The new contents are written to
+/// a temporary file and synced, the file is renamed over the old one, and the folder is synced.
 
 #include <optional>
 #include <set>
@@ -20,13 +20,13 @@
 inline constexpr const char* kSnapshotFile = "snapshot";
 inline constexpr const char* kTemporarySuffix = ".tmp";
 
-/// Greatest accepted snapshot. State of a cell is some MiB; the bound keeps a damaged size from
-/// being allocated.
+/// Maximum size of a snapshot. The state of a cell takes some MiB; the limit prevents an allocation
+/// of a damaged size.
 inline constexpr std::uint64_t kMaxSnapshotBytes = 1U << 30U;
 
-/// A snapshot and the log that continues it.
+/// Contents of the snapshot file: the snapshot and the start of the log that continues it.
 struct SnapshotFile {
-  SegmentNumber firstSegment = 1;  ///< Segments with lower numbers are void.
+  SegmentNumber firstSegment = 1;  ///< Segments with lower numbers are invalid.
   consensus::Snapshot snapshot;
 
   template <class Archive>
@@ -38,13 +38,13 @@
 /// Names of the files in a folder.
 using FileNames = std::set<std::string>;
 
-/// Reads and replaces the whole-file state of a folder. All methods fail with `fileError`, the
-/// readers also with `corruptFile`.
+/// Reader and writer of the state files of a folder. All methods report failures as `fileError`;
+/// the read methods also report `corruptFile`.
 class StateFiles {
  public:
   explicit StateFiles(FileSystem& files) : files_(files) {}
 
-  /// Removes what an interrupted replacement left.
+  /// Removes temporary files that an interrupted replacement left behind.
   base::Result<void> removeTemporaries(FileNames& names);
 
   base::Result<base::ServerId> readIdentity();
--- a/test/storage/crash_test.cpp
+++ b/test/storage/crash_test.cpp
@@ -2,7 +2,7 @@
 #include "storage/scripted_batches.h"
 #include "walnut/factories.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// So small that the script spans many segments.
+/// Segment size, small enough that the script spans many segments.
 constexpr std::uint64_t kSegmentBytes = 200;
-/// Above the number of operations of the whole script; the loop ends at the first run without a
-/// failure.
+/// Limit above the number of operations of the whole script; the loops end at the first run without
+/// a failure.
 constexpr std::uint64_t kEndless = 100'000;
 
-/// What a run of the script may leave if it was stopped.
+/// Result of a run of the script: the states that may be recovered after it.
 struct Run {
   bool finished = false;
   std::vector<consensus::RecoveredState> allowed{freshState()};
@@ -41,12 +41,14 @@
   return run;
 }
 
-/// Checks that the folder recovers to an allowed state and that the log goes on from there.
+/// Checks that the folder recovers to an allowed state and that the log can be continued from
+/// there.
 void checkRecovers(FileSystem& files, const Run& run) {
   const auto storage = makeLogStorage(files, kSegmentBytes);
   const auto recovered = storage->recover(kIdentity);
   CHECK_TRUE_TEXT(recovered.has_value(), "recovery fails after a crash");
-  CHECK_TRUE_TEXT(containsState(run.allowed, recovered.value()), "not a prefix of the batch");
+  CHECK_TRUE_TEXT(containsState(run.allowed, recovered.value()),
+                  "the recovered state is not a prefix of the batch");
 
   consensus::RecoveredState expected = recovered.value();
   const consensus::LogIndex base = expected.snapshot ? expected.snapshot->lastIndex : 0;
@@ -57,7 +59,7 @@
   expected.entries.insert(expected.entries.end(), batch.entries.begin(), batch.entries.end());
   const auto again = makeLogStorage(files, kSegmentBytes)->recover(kIdentity);
   CHECK_TRUE(again.has_value());
-  CHECK_TRUE_TEXT(equal(expected, again.value()), "the log doesn't go on after recovery");
+  CHECK_TRUE_TEXT(equal(expected, again.value()), "the log cannot be continued after recovery");
 }
 
 }  // namespace
@@ -108,8 +110,8 @@
 }
 
 TEST(CrashTest, processDeathAloneLosesNothingThatRecoveryReported) {
-  // The process dies but the machine goes on: unsynced data is still readable. What the next
-  // process reads there must not vanish when the machine stops later.
+  // After a crash of the process alone, unsynced data is still readable. What the next process
+  // recovers must not be lost if the machine stops later.
   for (std::uint64_t point = 0; point < kEndless; ++point) {
     MemoryFileSystem files;
     files.stopAfter(point);
--- a/test/storage/damage_test.cpp
+++ b/test/storage/damage_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Bit flips, truncation and loss of each file: found and named, or cut off in the last frame;
-/// never a wrong entry, and never a silent loss of what has intact frames behind it.
+/// Tests of bit flips, truncation and loss of each file. The damage must be detected with the name
+/// of the file, or be truncated if it is in the last frame. Recovery must never return a wrong
+/// entry nor silently lose data that is followed by intact frames.
 
 #include <algorithm>
 
@@ -11,7 +12,7 @@
 #include "storage/state_files.h"
 #include "walnut/factories.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -20,8 +21,8 @@
 
 namespace {
 
-/// A folder with a vote, a snapshot, closed segments and a last segment of several frames; and the
-/// state after each batch.
+/// Folder with a vote, a snapshot, closed segments and a last segment of several frames, and the
+/// expected state after each batch.
 struct Folder {
   MemoryFileSystem files;
   std::vector<consensus::RecoveredState> states{freshState()};
@@ -38,7 +39,7 @@
   }
 }
 
-/// The last segment holds the entries from 17 on, in two frames.
+/// Makes a folder whose last segment holds the entries from 17 on, in two frames.
 Folder makeFolder() {
   std::vector<consensus::PersistBatch> script(9);
   script[0].hardState = consensus::HardState{3, base::ServerId{2}};
@@ -176,7 +177,7 @@
   const std::vector<std::string> segments = segmentsOf(pristine.files);
   for (const std::string& name : namesOf(pristine.files)) {
     if (name == segments.back() || name == segments.front() || name == kSnapshotFile) {
-      continue;  // See the tests below.
+      continue;  // Covered by the tests below.
     }
     Folder damaged = pristine;
     CHECK_TRUE(damaged.files.remove(name).has_value());
--- a/test/storage/log_storage_test.cpp
+++ b/test/storage/log_storage_test.cpp
@@ -7,7 +7,7 @@
 #include "storage/segment.h"
 #include "walnut/factories.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
--- a/test/storage/memory_file_system.h
+++ b/test/storage/memory_file_system.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// File system in memory that can stop at every operation and then loses unsynced data in a chosen
-/// way. Deterministic: the test loops over all ways.
+/// In-memory file system that can fail at every operation and then loses unsynced data in a chosen
+/// way. Deterministic: the tests loop over all ways.
 
 #include <cstdint>
 #include <map>
@@ -14,26 +14,27 @@
 
 namespace walnut::storage::test {
 
-/// What becomes of the unsynced bytes of a file.
+/// Part of a file's unsynced bytes that a crash loses.
 enum class DataLoss { all, half, zeroedEnd, zeroedStart, none };
-/// What becomes of unsynced creations, renames and removals.
+/// Part of the unsynced creations, renames and removals that a crash loses.
 enum class FolderLoss { all, newer, older, none };
 
+/// Effect of a crash on unsynced data.
 struct Crash {
   DataLoss data = DataLoss::all;
   FolderLoss folder = FolderLoss::all;
 };
 
-/// @return every combination.
+/// @return all combinations of losses.
 std::vector<Crash> allCrashes();
 
-/// Contents of one file: what the process sees, and what is synced.
+/// Contents of one file: as the process sees it, and as synced.
 struct MemoryFile {
   std::string data;
   std::string synced;
 };
 
-/// See the file's comment.
+/// In-memory implementation of the file system with simulated failures and crashes.
 class MemoryFileSystem : public FileSystem {
  public:
   base::Result<std::vector<std::string>> list() override;
@@ -44,20 +45,22 @@
   base::Result<void> remove(const std::string& name) override;
   base::Result<void> syncFolder() override;
 
-  /// Operations after the next `operations` ones fail; the first to fail is an append that writes
-  /// half of its bytes, or has no effect.
+  /// Makes all operations after the next `operations` fail. If the first failing operation is an
+  /// append, it writes half of its bytes; otherwise it has no effect.
   void stopAfter(std::uint64_t operations) { operationsLeft_ = operations; }
-  /// The machine stops and starts again.
+  /// Simulates a crash and restart of the machine.
   void crash(const Crash& crash);
 
-  /// Counts an operation. @return false if it fails.
+  /// Counts an operation.
+  /// @return false if the operation must fail.
   bool admit();
-  /// Damages a file behind the storage's back; copies of this file system keep the old contents.
+  /// Replaces a file's contents to simulate damage; copies of this file system keep the old
+  /// contents.
   void replaceContents(const std::string& name, const std::string& bytes);
 
  private:
   using Folder = std::map<std::string, std::shared_ptr<MemoryFile>>;
-  /// Names that an operation set, or removed if null.
+  /// Names changed by an operation; a null value means that the name was removed.
   using FolderChange = std::map<std::string, std::shared_ptr<MemoryFile>>;
 
   void change(const FolderChange& change);
--- a/test/storage/posix_file_system_test.cpp
+++ b/test/storage/posix_file_system_test.cpp
@@ -7,7 +7,7 @@
 #include "storage/scripted_batches.h"
 #include "walnut/factories.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -64,7 +64,7 @@
 TEST(PosixFileSystemTest, aHugeFileIsRefusedBeforeItIsRead) {
   const auto files = open();
   CHECK_TRUE(files->openForAppend("huge").has_value());
-  // Sparse: takes no space.
+  // The file is sparse and takes no disk space.
   std::filesystem::resize_file(folder + "/huge", 1ULL << 40U);
   CHECK_TRUE(files->read("huge").error().code == base::ErrorCode::inputTooLarge);
 }
--- a/test/storage/scripted_batches.h
+++ b/test/storage/scripted_batches.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Batches with every kind of effect, and the states that a crash within them may leave.
+/// Test data: batches with all kinds of effects, and the states that a crash during them may leave.
 
 #include <string>
 #include <vector>
@@ -11,13 +11,13 @@
 
 inline constexpr base::ServerId kIdentity{7};
 
-/// @return entries [from, to] of the term, each with a payload that tells them apart.
+/// @return the entries [from, to] of the term, each with a different payload.
 std::vector<consensus::LogEntry> makeEntries(consensus::Term term, consensus::LogIndex from,
                                              consensus::LogIndex to);
 consensus::Snapshot makeSnapshot(consensus::LogIndex lastIndex, consensus::Term lastTerm);
 
-/// @return a script: appends over many segments, truncations, votes, a snapshot with compaction, a
-/// snapshot ahead of the log, a snapshot that discards the log.
+/// @return a script of batches: appends over many segments, truncations, votes, a snapshot with
+/// compaction, a snapshot ahead of the log, a snapshot that discards the log.
 std::vector<consensus::PersistBatch> scriptedBatches();
 
 /// @return the state after each prefix of the batch's effects; the first is `before`.
--- a/test/storage/segment_test.cpp
+++ b/test/storage/segment_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The decoders of segments and of whole-file blocks against malformed input with right and with
-/// wrong checksums.
+/// Tests of the decoders of segments and blocks with malformed input, under valid and invalid
+/// checksums.
 
 #include "storage/segment.h"
 
@@ -10,7 +10,7 @@
 #include "storage/scripted_batches.h"
 #include "walnut/base/random.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -31,7 +31,7 @@
   segment += encodeFrame(kNumber, segment.size(), frame).value().bytes;
 }
 
-/// @return a segment of three frames with two entries each.
+/// @return an encoded segment of three frames with two entries each.
 std::string makeSegment() {
   std::string segment = header();
   for (const consensus::LogIndex first : {1U, 3U, 5U}) {
@@ -42,7 +42,7 @@
 
 ParsedSegment parse(const std::string& bytes) { return parseSegment(kNumber, bytes).value(); }
 
-/// A parse never yields anything but a prefix of the frames.
+/// Checks that parsing yields a prefix of the original frames.
 void checkPrefix(const ParsedSegment& parsed) {
   CHECK_TRUE(parsed.frames.size() <= 3);
   for (std::size_t index = 0; index < parsed.frames.size(); ++index) {
@@ -133,8 +133,8 @@
 }
 
 TEST(SegmentTest, aTornFrameFullOfFrameHeadersIsCutInOnePass) {
-  // A command may hold any bytes. If each copy of the magic number made the search for intact
-  // frames hash the rest of the file, this test would not end.
+  // A command may contain any bytes. If the search for intact frames hashed the rest of the file at
+  // each copy of the magic number, this test would not finish in reasonable time.
   std::string segment = makeSegment();
   const std::size_t intactBytes = segment.size();
   const std::string start = segment.substr(header().size(), sizeof(std::uint32_t));
--- a/test/storage/simulated_disk_test.cpp
+++ b/test/storage/simulated_disk_test.cpp
@@ -1,12 +1,12 @@
 /// @file
-/// The storage over the simulator's disk, with batches and crashes drawn by seed.
+/// Tests of the storage on the simulator's disk, with batches and crashes drawn by seed.
 
 #include "simulator/disk.h"
 #include "storage/scripted_batches.h"
 #include "walnut/base/random.h"
 #include "walnut/factories.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -17,19 +17,19 @@
 
 constexpr std::uint64_t kSeeds = 300;
 constexpr std::uint64_t kBatches = 40;
-/// A batch has at most about this many operations of the disk.
+/// Approximate maximum number of disk operations per batch.
 constexpr std::uint64_t kOperations = 20;
 constexpr std::uint64_t kSegmentBytes = 400;
 constexpr double kCrashChance = 0.3;
 
-/// A storage that crashes now and then, and the state that it should hold.
+/// Storage that crashes at random, together with its expected state.
 class CrashingStorage {
  public:
   explicit CrashingStorage(std::uint64_t seed) : random_(seed), disk_(seed) { restart(); }
 
   simulator::Disk& disk() { return disk_; }
 
-  /// @return false if a crash left a state that is no prefix.
+  /// @return false if a crash left a state that is not a prefix of the batch.
   bool persistOrCrash() {
     const consensus::PersistBatch batch = drawBatch();
     const std::vector<consensus::RecoveredState> prefixes = prefixStates(state_, batch);
