--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -17,12 +17,12 @@
 using base::Result;
 
 constexpr std::size_t kReadBytes = 64U << 10U;
-/// Reads from one connection before the others get their turn.
+/// Maximum number of reads from one connection before other connections are served.
 constexpr int kReadsPerTurn = 16;
 
 Error lost(const std::string& detail) { return {ErrorCode::connectionLost, "connection", detail}; }
 
-/// @return true if POCO's exception only tells that the socket takes no more at present.
+/// @return true if POCO's exception only means that the operation would block.
 bool wouldBlock(const Poco::Exception& exception) {
   return exception.code() == EAGAIN || exception.code() == EWOULDBLOCK;
 }
@@ -56,7 +56,7 @@
 }
 
 Result<std::size_t> Connection::receive(base::TimePoint now, const MessageHandler& onMessage) {
-  // One buffer for all connections: an idle one holds no read buffer.
+  // The read buffer is shared by all connections, so that idle ones need none.
   static thread_local std::array<char, kReadBytes> buffer;
   std::size_t total = 0;
   for (int turn = 0; turn < kReadsPerTurn; ++turn) {
@@ -73,7 +73,7 @@
       return lost("closed by the peer");
     }
     if (count < 0) {
-      break;  // Nothing more has come.
+      break;  // No more data is available.
     }
     lastReceivedAt_ = now;
     total += static_cast<std::size_t>(count);
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One connection of the transport: its socket, its state and what waits in either direction.
+/// One connection of the transport: socket, protocol state, and buffers for both directions.
 
 #include <Poco/Net/StreamSocket.h>
 
@@ -17,37 +17,40 @@
 
 namespace walnut::transport {
 
-/// Transitions: connecting -> greeting (the socket is connected) -> open (the peer's Hello was
-/// accepted). Accepted connections begin in greeting. An error in any state ends the connection.
+/// State of a connection. Transitions: connecting -> greeting (the socket is connected) -> open
+/// (the peer's Hello was accepted). Accepted connections begin in `greeting`. An error in any state
+/// ends the connection.
 enum class ConnectionState : std::uint8_t { connecting, greeting, open };
 
-/// Owned and used by the poll thread only. Each method that does I/O returns the typed error that
-/// ends the connection; none throws.
+/// Connection to a peer. Owned and used by the poll thread only. Methods that do I/O return the
+/// typed error that ends the connection; none throws.
 class Connection {
  public:
-  /// Called for each message, Hello included, in the order of arrival.
+  /// Callback for each message, including Hello, in the order of arrival.
   /// @return an error to end the connection.
   using MessageHandler = std::function<base::Result<void>(protocol::Message)>;
 
-  /// @param socket non-blocking; connecting or, if `accepted`, connected.
+  /// @param socket non-blocking socket; connecting, or connected if `accepted`.
   Connection(protocol::ConnectionId id, const Poco::Net::StreamSocket& socket,
              base::Endpoint remote, bool accepted, base::TimePoint now);
 
-  /// Ends the state `connecting` once the socket is writable.
+  /// Leaves the state `connecting`; called once the socket is writable.
   base::Result<void> finishConnecting(base::TimePoint now);
-  /// Ends the state `greeting`.
+  /// Leaves the state `greeting` for `open`.
   void markOpen() { state_ = ConnectionState::open; }
 
-  /// Reads what has come, at most a fixed amount so that other connections get their turn.
+  /// Reads the available data, up to a fixed amount so that other connections are served too.
   /// @return the number of bytes read.
   base::Result<std::size_t> receive(base::TimePoint now, const MessageHandler& onMessage);
 
-  /// Queues a frame. @return `inputTooLarge` if the queue would exceed `limit` bytes.
+  /// Queues a frame.
+  /// @return `inputTooLarge` if the queue would exceed `limit` bytes.
   base::Result<void> queue(std::string_view frame, std::size_t limit);
-  /// Writes as much of the queue as the socket takes. @return the number of bytes written.
+  /// Writes as much of the queue as the socket accepts.
+  /// @return the number of bytes written.
   base::Result<std::size_t> flush();
 
-  /// @return true if writable events are wanted: to finish connecting or to go on writing.
+  /// @return true if writable events are needed, to finish connecting or to continue writing.
   bool wantsWrite() const { return state_ == ConnectionState::connecting || !output_.empty(); }
 
   protocol::ConnectionId id() const { return id_; }
@@ -56,10 +59,11 @@
   bool accepted() const { return accepted_; }
   ConnectionState state() const { return state_; }
   base::TimePoint startedAt() const { return startedAt_; }
-  /// When bytes last came from the peer.
+  /// @return the time at which bytes were last received from the peer.
   base::TimePoint lastReceivedAt() const { return lastReceivedAt_; }
 
-  /// What the poll set was last told; kept so that it is told only of changes.
+  /// Event mask registered with the poll set; stored so that the poll set is only updated on
+  /// changes.
   int pollMode = 0;
 
  private:
--- a/src/transport/frame.cpp
+++ b/src/transport/frame.cpp
@@ -15,7 +15,7 @@
 using base::ErrorCode;
 using base::Result;
 
-/// The header without the magic.
+/// Frame header without the magic.
 struct FrameHeader {
   std::uint32_t length = 0;
   std::uint64_t hash = 0;
@@ -24,7 +24,8 @@
 constexpr std::size_t kLengthOffset = kFrameMagic.size();
 constexpr std::size_t kHashOffset = kLengthOffset + sizeof(FrameHeader::length);
 
-/// Hosts are little-endian, as for the archives (base/archive.h).
+/// Appends an integer in host byte order. Hosts must be little-endian, as for the archives
+/// (base/archive.h).
 template <class Integer>
 void appendInteger(std::string& bytes, Integer value) {
   bytes.append(reinterpret_cast<const char*>(&value), sizeof(value));
@@ -37,13 +38,13 @@
   return value;
 }
 
-/// @param bytes at least the magic, of which any part may be there.
+/// @return true if `bytes`, which may be incomplete, begin with the magic or a part of it.
 bool magicMatches(std::string_view bytes) {
   const std::size_t size = std::min(bytes.size(), kFrameMagic.size());
   return bytes.substr(0, size) == kFrameMagic.substr(0, size);
 }
 
-/// @return the checked header; nothing if it has not come as a whole.
+/// @return the validated header; nullopt if it is incomplete.
 Result<std::optional<FrameHeader>> readHeader(std::string_view bytes) {
   if (!magicMatches(bytes)) {
     return Error{ErrorCode::malformedInput, "frame.magic", "not a frame of this protocol"};
--- a/src/transport/transport_impl.cpp
+++ b/src/transport/transport_impl.cpp
@@ -19,9 +19,10 @@
 using base::Result;
 using Poco::Net::PollSet;
 
-/// Connections that wait to be accepted; above the 400 routers that may restart together.
+/// Maximum number of connections waiting to be accepted; above the 400 routers that may restart at
+/// the same time.
 constexpr int kListenBacklog = 512;
-/// Accepting stops for this long when the system has no more descriptors or memory.
+/// Time for which accepting is suspended when the system runs out of descriptors or memory.
 constexpr base::Duration kAcceptPause = std::chrono::milliseconds(100);
 constexpr base::Duration kLongestPoll = std::chrono::seconds(1);
 
@@ -29,7 +30,7 @@
   return {address.host().toString(), address.port()};
 }
 
-/// @return the address; host names are refused, as POCO would resolve them.
+/// @return the address; host names are refused, since POCO would resolve them.
 Result<Poco::Net::SocketAddress> toSocketAddress(const base::Endpoint& endpoint) {
   Poco::Net::IPAddress address;
   if (!Poco::Net::IPAddress::tryParse(endpoint.address, address)) {
@@ -47,7 +48,7 @@
   if (options_.listen) {
     const Poco::Net::IPAddress address(options_.listenAddress);
     listener_.emplace();
-    // The port is not shared: POCO would else let a second process listen on it as well.
+    // The port must not be shared: by default POCO lets a second process listen on it as well.
     constexpr bool kReuseAddress = true;
     constexpr bool kReusePort = false;
     listener_->bind(Poco::Net::SocketAddress(address, options_.listenPort), kReuseAddress,
@@ -77,7 +78,7 @@
 void TransportImpl::send(protocol::ConnectionId connection, const protocol::Message& message) {
   Result<std::string> frame = encodeFrame(message);
   if (frame.has_error()) {
-    // A message can't be left out without the peer knowing: the connection ends.
+    // The peer must not miss a message unnoticed, so the connection is closed.
     runtime::logError("message-too-large", frame.error());
     post(CloseCommand{connection, frame.error()});
     return;
@@ -102,7 +103,7 @@
     try {
       pollOnce();
     } catch (const Poco::Exception& exception) {
-      // The poll set itself failed; the connections are kept and the next turn tries again.
+      // The poll set itself failed. The connections are kept, and the next iteration retries.
       runtime::logError("poll-failed", {ErrorCode::internal, "poll", exception.displayText()});
     }
   }
@@ -112,7 +113,7 @@
   const base::TimePoint now = runtime::now();
   const base::TimePoint wakeup = std::min(nextTimer_, acceptAgainAt_.value_or(base::kNever));
   const base::Duration wait = std::clamp(wakeup - now, base::Duration::zero(), kLongestPoll);
-  // The poll set counts in whole milliseconds: rounded up, lest it spin before a deadline.
+  // The poll set's resolution is a millisecond. Rounds up to avoid a busy loop before a deadline.
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(wait).count();
   const PollSet::SocketModeMap ready = pollSet_.poll(
       Poco::Timespan(std::chrono::microseconds(std::chrono::milliseconds(millis)).count()));
@@ -134,7 +135,7 @@
   }
   const auto found = idsBySocket_.find(socket.impl());
   if (found == idsBySocket_.end()) {
-    return;  // Ended earlier in this turn.
+    return;  // The connection ended earlier in this iteration.
   }
   const protocol::ConnectionId id = found->second;
   const Result<void> handled = handleConnection(*connections_.at(id), mode);
@@ -152,7 +153,8 @@
   for (const Command& command : commands) {
     std::visit([this](const auto& alternative) { execute(alternative); }, command);
   }
-  // Flushed once for all frames of the turn, so that they leave in one write.
+  // Flushes each connection once for all frames of the iteration, so that they are sent in one
+  // write.
   for (const protocol::ConnectionId id : std::exchange(unflushed_, {})) {
     const auto found = connections_.find(id);
     if (found == connections_.end()) {
@@ -186,7 +188,8 @@
   if (found == connections_.end()) {
     return;
   }
-  (void)write(*found->second);  // What was sent before the close goes out if the socket takes it.
+  // Messages that were sent before the close are written if the socket accepts them.
+  (void)write(*found->second);
   end(command.connection, command.error);
 }
 
@@ -332,7 +335,7 @@
   if (now < nextTimer_) {
     return;
   }
-  // Deadlines move on with each byte received; only here are they looked at again.
+  // Received bytes extend the deadlines; nextTimer_ is only recomputed here.
   nextTimer_ = base::kNever;
   std::vector<protocol::ConnectionId> expired;
   for (const auto& [id, connection] : connections_) {
@@ -378,7 +381,7 @@
   try {
     pollSet_.remove(ended->socket());
   } catch (const Poco::Exception& exception) {
-    // Closing the socket removes it as well.
+    // Closing the socket removes it from the poll set as well.
     runtime::logEvent("poll-remove-failed", {{"detail", exception.displayText()}});
   }
   runtime::logEvent("connection-ended", {{"remote", runtime::formatEndpoint(ended->remote())},
--- a/src/transport/transport_impl.h
+++ b/src/transport/transport_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The transport's poll thread.
+/// Implementation of the transport with a poll thread.
 
 #include <Poco/Net/PollSet.h>
 #include <Poco/Net/ServerSocket.h>
@@ -22,12 +22,13 @@
 
 namespace walnut::transport {
 
-/// Other threads only queue commands and wake the poll thread; sockets and connections belong to
-/// the poll thread. Invariant: each Opened is followed by exactly one Closed, unless the transport
-/// is destroyed first; `close` also yields a Closed. Destruction drops what is still queued.
+/// Transport with one poll thread, which owns all sockets and connections. Other threads only queue
+/// commands and wake the poll thread. Invariant: each Opened is followed by exactly one Closed,
+/// unless the transport is destroyed first; `close` also causes a Closed. Destruction drops all
+/// queued data.
 class TransportImpl : public Transport {
  public:
-  /// Throws Poco::Exception if it can't listen.
+  /// Throws Poco::Exception if listening fails.
   TransportImpl(const TransportOptions& options, std::string helloFrame, EventSink sink);
   ~TransportImpl() override;
   TransportImpl(const TransportImpl&) = delete;
@@ -74,7 +75,7 @@
   base::Result<void> write(Connection& connection);
 
   void handleTimers();
-  /// @return when the connection ends unless something comes from its peer.
+  /// @return the time at which the connection times out unless data is received from its peer.
   base::TimePoint deadlineOf(const Connection& connection) const;
   base::Error timeoutOf(const Connection& connection) const;
   void end(protocol::ConnectionId connection, const base::Error& error);
@@ -88,14 +89,14 @@
   std::atomic<bool> stopping_ = false;
   event::Waker waker_;
 
-  // Of the poll thread.
+  // Used by the poll thread only.
   std::optional<Poco::Net::ServerSocket> listener_;
   std::uint16_t port_ = 0;
   std::optional<base::TimePoint> acceptAgainAt_;
   Poco::Net::PollSet pollSet_;
   ConnectionMap connections_;
   std::unordered_map<const Poco::Net::SocketImpl*, protocol::ConnectionId> idsBySocket_;
-  std::vector<protocol::ConnectionId> unflushed_;  ///< Got frames queued by this turn's commands.
+  std::vector<protocol::ConnectionId> unflushed_;  ///< Connections with newly queued frames.
   std::uint64_t lastId_ = 0;
   base::TimePoint nextTimer_ = base::kNever;
 
@@ -104,7 +105,7 @@
   std::atomic<std::uint64_t> messagesSent_ = 0;
   std::atomic<std::uint64_t> messagesReceived_ = 0;
 
-  std::thread thread_;  ///< Last: started when all else is ready.
+  std::thread thread_;  ///< Must be last: started once all other members are ready.
 };
 
 }  // namespace walnut::transport
--- a/test/transport/frame_test.cpp
+++ b/test/transport/frame_test.cpp
@@ -34,7 +34,8 @@
     FrameReader reader;
     reader.feed(damaged);
     const auto message = reader.next();
-    // A length that grew only waits for more; all else is an error at once.
+    // A changed byte that increases the length makes the reader wait for more data; all other
+    // changes are immediate errors.
     CHECK_TRUE(message.has_error() || !message.value().has_value());
   }
 }
--- a/test/transport/harness.h
+++ b/test/transport/harness.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the transport's tests share: a collector of events, and a peer that writes raw bytes.
+/// Test fixtures for the transport: a collector of events, and a peer that writes raw bytes.
 
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
@@ -16,16 +16,16 @@
 #include "walnut/transport/transport.h"
 
 // clang-format off
-// Last: it replaces `new` by a macro, which the standard library's headers don't survive.
+// Must be included last: it defines `new` as a macro, which breaks standard library headers.
 #include <CppUTest/TestHarness.h>
 // clang-format on
 
 namespace walnut::transport {
 
-/// No test waits for this long unless it fails.
+/// Time limit for a single wait, which is only reached if a test fails.
 inline constexpr base::Duration kHangGuard = std::chrono::seconds(30);
 
-/// A transport and the events that it handed out.
+/// Transport together with a queue of its events.
 class TestTransport {
  public:
   explicit TestTransport(const TransportOptions& options = {}) {
@@ -44,30 +44,30 @@
         pending_.push_back(std::move(event));
       }
     }
-    CHECK_TRUE_TEXT(!pending_.empty(), "no event came");
+    CHECK_TRUE_TEXT(!pending_.empty(), "no event arrived before the time limit");
     Event event = std::move(pending_.front());
     pending_.pop_front();
     return event;
   }
 
-  /// @return the next event, which must be of this kind.
+  /// @return the next event, which must be of type `Kind`.
   template <class Kind>
   Kind expect() {
     const Event event = expectAny();
-    CHECK_TRUE_TEXT(std::holds_alternative<Kind>(event), "an event of another kind came");
+    CHECK_TRUE_TEXT(std::holds_alternative<Kind>(event), "an event of another type arrived");
     return std::get<Kind>(event);
   }
 
-  /// @return true if no event waits at this moment.
+  /// @return true if no event is queued at the moment.
   bool quiet() const { return pending_.empty() && events_.size() == 0; }
 
  private:
   runtime::Inbox<Event> events_;
   std::deque<Event> pending_;
-  std::unique_ptr<Transport> transport_;  ///< Last: its thread uses the inbox.
+  std::unique_ptr<Transport> transport_;  ///< Must be last: its thread uses the inbox.
 };
 
-/// A blocking socket that speaks only what the test gives it.
+/// Peer with a blocking socket that sends exactly the bytes given by the test.
 class RawPeer {
  public:
   explicit RawPeer(const base::Endpoint& remote)
@@ -80,7 +80,7 @@
   }
   void finishWriting() { socket_.shutdownSend(); }
 
-  /// Reads until the other side closed or reset the connection.
+  /// Reads until the other side closes or resets the connection.
   void readToEnd() {
     std::array<char, 4096> buffer{};
     try {
@@ -89,7 +89,7 @@
     } catch (const Poco::TimeoutException&) {
       FAIL("the connection was not closed");
     } catch (const Poco::Exception&) {
-      // Reset.
+      // The connection was reset, which also ends it.
     }
   }
 
--- a/test/transport/hostile_peer_test.cpp
+++ b/test/transport/hostile_peer_test.cpp
@@ -26,7 +26,7 @@
   return bytes;
 }
 
-/// Shows that the transport still serves a well-behaved peer.
+/// Checks that the transport still serves a well-behaved peer.
 void checkStillServes(TestTransport& server) {
   RawPeer peer(server.endpoint());
   peer.write(helloFrame() + probeFrame(99));
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-/// Peers that break the protocol, over real sockets.
+/// Tests with peers that violate the protocol, over real sockets.
 TEST_GROUP(HostilePeerTest){};
 
 TEST(HostilePeerTest, aBadGreetingEndsTheConnectionUnopened) {
@@ -166,7 +166,7 @@
   const auto connection = server.expect<Opened>().connection;
   consensus::Message large;
   large.body = consensus::SnapshotChunk{1, 1, 1, 0, 0, 0, std::string(512U << 10U, 'x')};
-  // More than the kernel's buffers and the queue take together.
+  // The total size exceeds the kernel's buffers and the queue together.
   for (int count = 0; count < 64; ++count) {
     server->send(connection, large);
   }
--- a/test/transport/transport_test.cpp
+++ b/test/transport/transport_test.cpp
@@ -22,7 +22,7 @@
   return options;
 }
 
-/// @return a port of the loopback that nothing listens on.
+/// @return a loopback port on which no process listens.
 std::uint16_t closedPort() {
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress("127.0.0.1", 0));
@@ -107,7 +107,7 @@
   std::set<protocol::ConnectionId> opened;
   std::set<std::uint64_t> sequences;
   while (sequences.size() < kConnections) {
-    // Events of different connections come in any order.
+    // The order of events of different connections is undefined.
     const Event event = server.expectAny();
     if (const auto* open = std::get_if<Opened>(&event)) {
       opened.insert(open->connection);
@@ -131,7 +131,7 @@
   CHECK_TRUE(client.expect<Closed>().connection == connection);
   server.expect<Received>();
   CHECK_TRUE(server.expect<Closed>().error.code == ErrorCode::connectionLost);
-  client->send(connection, protocol::ProbeRequest{2});  // Dropped.
+  client->send(connection, protocol::ProbeRequest{2});  // Dropped, since the connection has ended.
   client->close(connection);
 }
 
