--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -10,13 +10,13 @@
     : timeoutMin_(options.electionTimeoutMin),
       timeoutMax_(std::max(options.electionTimeoutMin, options.electionTimeoutMax)),
       random_(seed) {
-  leaderHeard(now);
+  onLeaderContact(now);
   if (options.firstElectionTimeout > base::Duration::zero()) {
     deadline_ = now + options.firstElectionTimeout;
   }
 }
 
-void ElectionTimer::leaderHeard(base::TimePoint now) {
+void ElectionTimer::onLeaderContact(base::TimePoint now) {
   lastLeaderContact_ = now;
   restart(now);
 }
--- a/src/consensus/election.h
+++ b/src/consensus/election.h
@@ -20,7 +20,7 @@
   ElectionTimer(const RaftOptions& options, std::uint64_t seed, base::TimePoint now);
 
   /// Records that a message from the current leader arrived, and restarts the timeout.
-  void leaderHeard(base::TimePoint now);
+  void onLeaderContact(base::TimePoint now);
   /// Draws a new deadline; also called when a vote is granted or an election begins.
   void restart(base::TimePoint now);
 
--- a/src/consensus/heartbeat_rounds.cpp
+++ b/src/consensus/heartbeat_rounds.cpp
@@ -29,7 +29,7 @@
   return openedAt_[openedAt_.size() - 1 - (latest_ - round)];
 }
 
-void HeartbeatRounds::forgetBefore(base::TimePoint time) {
+void HeartbeatRounds::removeBefore(base::TimePoint time) {
   while (!openedAt_.empty() && openedAt_.front() < time) {
     openedAt_.pop_front();
   }
--- a/src/consensus/heartbeat_rounds.h
+++ b/src/consensus/heartbeat_rounds.h
@@ -33,7 +33,7 @@
   std::optional<base::TimePoint> openedAt(std::uint64_t round) const;
 
   /// Removes the opening times of rounds that were opened before `time`.
-  void forgetBefore(base::TimePoint time);
+  void removeBefore(base::TimePoint time);
 
  private:
   std::uint64_t latest_ = 0;
--- a/src/consensus/persist_queue.cpp
+++ b/src/consensus/persist_queue.cpp
@@ -6,20 +6,20 @@
 namespace walnut::consensus {
 
 PersistQueue::PersistQueue(const HardState& durable, LogIndex lastIndex)
-    : handedIndex_(lastIndex),
-      batchHardState_(durable),
+    : lastBatchedIndex_(lastIndex),
+      inFlightHardState_(durable),
       durableIndex_(lastIndex),
       durableHardState_(durable) {}
 
 void PersistQueue::hardStateChanged(const HardState& hardState) { pending_.hardState = hardState; }
 
 void PersistQueue::logTruncated(LogIndex index) {
-  if (index > handedIndex_) {
+  if (index > lastBatchedIndex_) {
     return;  // The entries were never passed to storage.
   }
-  handedIndex_ = index - 1;
-  batchIndex_ = std::min(batchIndex_, handedIndex_);
-  durableIndex_ = std::min(durableIndex_, handedIndex_);
+  lastBatchedIndex_ = index - 1;
+  inFlightIndex_ = std::min(inFlightIndex_, lastBatchedIndex_);
+  durableIndex_ = std::min(durableIndex_, lastBatchedIndex_);
   pending_.truncateFrom = std::min(pending_.truncateFrom.value_or(index), index);
 }
 
@@ -33,31 +33,31 @@
   pending_.discardLog = true;
   pending_.truncateFrom.reset();
   pending_.compactTo.reset();
-  handedIndex_ = snapshot.lastIndex;
-  batchIndex_ = 0;
+  lastBatchedIndex_ = snapshot.lastIndex;
+  inFlightIndex_ = 0;
   durableIndex_ = 0;
 }
 
 PersistBatch PersistQueue::take(const RaftLog& log) {
   PersistBatch batch = std::exchange(pending_, PersistBatch{});
-  batch.entries = log.range(handedIndex_ + 1, log.lastIndex());
+  batch.entries = log.range(lastBatchedIndex_ + 1, log.lastIndex());
   if (batch.empty()) {
     return batch;
   }
-  handedIndex_ = log.lastIndex();
-  batchOut_ = true;
-  batchIndex_ = handedIndex_;
-  batchHardState_ = batch.hardState.value_or(batchHardState_);
+  lastBatchedIndex_ = log.lastIndex();
+  batchInFlight_ = true;
+  inFlightIndex_ = lastBatchedIndex_;
+  inFlightHardState_ = batch.hardState.value_or(inFlightHardState_);
   return batch;
 }
 
 void PersistQueue::onPersisted() {
-  if (!batchOut_) {
+  if (!batchInFlight_) {
     return;
   }
-  batchOut_ = false;
-  durableIndex_ = batchIndex_;
-  durableHardState_ = batchHardState_;
+  batchInFlight_ = false;
+  durableIndex_ = inFlightIndex_;
+  durableHardState_ = inFlightHardState_;
 }
 
 }  // namespace walnut::consensus
--- a/src/consensus/persist_queue.h
+++ b/src/consensus/persist_queue.h
@@ -10,7 +10,8 @@
 namespace walnut::consensus {
 
 /// Collects the changes that storage must write into the next batch, and tracks which are durable.
-/// Invariants: at most one batch is in flight; durableIndex() <= handedIndex_ <= last log index.
+/// Invariants: at most one batch is in flight; durableIndex() <= lastBatchedIndex_ <= last log
+/// index.
 class PersistQueue {
  public:
   /// @param durable hard state recovered from disk.
@@ -29,18 +30,18 @@
   PersistBatch take(const RaftLog& log);
   void onPersisted();
 
-  bool batchOut() const { return batchOut_; }
+  bool isBatchInFlight() const { return batchInFlight_; }
   /// @return the index up to which all entries are synced.
   LogIndex durableIndex() const { return durableIndex_; }
   const HardState& durableHardState() const { return durableHardState_; }
 
  private:
-  PersistBatch pending_;  // Excludes entries: they stay in the log until `take`.
-  LogIndex handedIndex_;  // Last index that was put into a batch or recovered.
+  PersistBatch pending_;       // Excludes entries: they stay in the log until `take`.
+  LogIndex lastBatchedIndex_;  // Last index that was put into a batch or recovered.
 
-  bool batchOut_ = false;
-  LogIndex batchIndex_ = 0;  // handedIndex_ at the last `take`, lowered by truncation.
-  HardState batchHardState_;
+  bool batchInFlight_ = false;
+  LogIndex inFlightIndex_ = 0;  // lastBatchedIndex_ at the last `take`, lowered by truncation.
+  HardState inFlightHardState_;
 
   LogIndex durableIndex_;
   HardState durableHardState_;
--- a/src/consensus/progress.cpp
+++ b/src/consensus/progress.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-bool Progress::commitUnknown(LogIndex commitIndex) const {
+bool Progress::needsCommitUpdate(LogIndex commitIndex) const {
   return state_ == ProgressState::replicate && std::min(commitIndex, nextIndex_ - 1) > commitSent_;
 }
 
@@ -40,8 +40,8 @@
   while (!inFlight_.empty() && inFlight_.front() <= matchIndex_) {
     inFlight_.pop_front();
   }
-  const bool reachedLog = matchIndex_ >= baseIndex;
-  if (state_ == ProgressState::probe || (state_ == ProgressState::snapshot && reachedLog)) {
+  const bool hasReachedLog = matchIndex_ >= baseIndex;
+  if (state_ == ProgressState::probe || (state_ == ProgressState::snapshot && hasReachedLog)) {
     enterReplicate();
   }
 }
--- a/src/consensus/progress.h
+++ b/src/consensus/progress.h
@@ -44,9 +44,9 @@
   /// Records that an append with the entries (nextIndex() - 1, lastSent] and `commitIndex` is sent.
   void appendSent(LogIndex lastSent, LogIndex commitIndex);
   /// Allows the probe to be repeated, since the previous one may be lost.
-  void heartbeatDue() { probeSent_ = false; }
+  void allowNextProbe() { probeSent_ = false; }
   /// @return true if `commitIndex` has not yet been sent to the follower.
-  bool commitUnknown(LogIndex commitIndex) const;
+  bool needsCommitUpdate(LogIndex commitIndex) const;
 
   /// Handles an accepted append: the follower's log equals the leader's up to `matchIndex`.
   /// @param round heartbeat round of the request.
--- a/src/consensus/raft_follower.cpp
+++ b/src/consensus/raft_follower.cpp
@@ -38,7 +38,7 @@
     return false;
   }
   becomeFollower(term, from);
-  electionTimer_.leaderHeard(now_);
+  electionTimer_.onLeaderContact(now_);
   return true;
 }
 
--- a/src/consensus/raft_impl.cpp
+++ b/src/consensus/raft_impl.cpp
@@ -15,7 +15,7 @@
 
 /// Multiplier that mixes the server id into the seed, so that servers configured with the same seed
 /// draw different timeouts.
-constexpr std::uint64_t kSeedSpread = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t kSeedMultiplier = 0x9e3779b97f4a7c15ULL;
 
 RaftOptions withSafeLease(RaftOptions options) {
   options.checkQuorumTimeout = std::min(options.checkQuorumTimeout, options.electionTimeoutMin);
@@ -43,7 +43,7 @@
       appliedIndex_(log_.baseIndex()),
       persistQueue_(recovered.hardState, log_.lastIndex()),
       installed_(snapshot_),
-      electionTimer_(options_, seed ^ (recovered.self.value * kSeedSpread), now) {
+      electionTimer_(options_, seed ^ (recovered.self.value * kSeedMultiplier), now) {
   for (const LogEntry& entry : log_.range(log_.firstIndex(), log_.lastIndex())) {
     if (entry.type == EntryType::membership) {
       memberships_.append({entry.index, decodeMembership(entry.payload).value()});
@@ -97,8 +97,8 @@
 }
 
 void RaftImpl::compact(LogIndex appliedIndex, std::string data, std::size_t keepEntries) {
-  const LogIndex former = snapshot_ ? snapshot_->lastIndex : 0;
-  if (appliedIndex <= former || appliedIndex > appliedIndex_) {
+  const LogIndex previousLastIndex = snapshot_ ? snapshot_->lastIndex : 0;
+  if (appliedIndex <= previousLastIndex || appliedIndex > appliedIndex_) {
     return;  // A newer snapshot was installed, or the index is not applied yet.
   }
   const IndexedMembership& inForce = memberships_.at(appliedIndex);
@@ -123,7 +123,7 @@
 
 RaftOutputs RaftImpl::takeOutputs() {
   RaftOutputs outputs;
-  if (persistQueue_.batchOut()) {
+  if (persistQueue_.isBatchInFlight()) {
     return outputs;  // Further messages may depend on the batch, which is not synced yet.
   }
   if (isLeader()) {
--- a/src/consensus/raft_impl.h
+++ b/src/consensus/raft_impl.h
@@ -39,7 +39,7 @@
   std::optional<LeadershipTransfer> transfer;
   /// Server that is being removed from the membership. It still receives entries until the removal
   /// is committed, so that it learns of its removal.
-  std::optional<base::ServerId> departing;
+  std::optional<base::ServerId> removedServer;
 };
 
 /// Raft implementation as a state machine over the roles. Transitions: follower -> preCandidate at
--- a/src/consensus/raft_leader.cpp
+++ b/src/consensus/raft_leader.cpp
@@ -36,7 +36,7 @@
 void RaftImpl::tickLeader() {
   LeaderState& state = *leaderState_;
   if (now_ >= state.nextHeartbeat) {
-    rounds_.forgetBefore(now_ - options_.checkQuorumTimeout);
+    rounds_.removeBefore(now_ - options_.checkQuorumTimeout);
     rounds_.open(now_);
     state.nextHeartbeat = now_ + options_.heartbeatInterval;
   }
@@ -149,12 +149,12 @@
     progress->onAccepted(reply.lastIndex, reply.round, log_.baseIndex());
     updateCommitIndex();
   }
-  const bool awaited = progress->state() == ProgressState::snapshot &&
-                       progress->snapshotSender().lastIndex() == reply.lastIndex;
-  if (awaited && reply.installed) {
+  const bool isCurrentTransfer = progress->state() == ProgressState::snapshot &&
+                                 progress->snapshotSender().lastIndex() == reply.lastIndex;
+  if (isCurrentTransfer && reply.installed) {
     // The log was compacted further in the meantime: a newer snapshot is needed.
     progress->beginSnapshot(encodedSnapshot());
-  } else if (awaited) {
+  } else if (isCurrentTransfer) {
     progress->snapshotSender().onReply(reply.nextOffset, reply.round);
   }
 }
@@ -181,10 +181,10 @@
   if (memberships_.current().index > commitIndex_) {
     return;
   }
-  if (leaderState_->departing) {
+  if (leaderState_->removedServer) {
     flushFollowers();
-    leaderState_->followers.erase(*leaderState_->departing);
-    leaderState_->departing.reset();
+    leaderState_->followers.erase(*leaderState_->removedServer);
+    leaderState_->removedServer.reset();
   }
   if (findMember(membership(), self_) == nullptr) {
     flushFollowers();
@@ -234,7 +234,7 @@
   if (change.kind == MembershipChangeKind::learnerAdded) {
     leaderState_->followers.insert_or_assign(change.server, Progress(log_.lastIndex()));
   } else if (change.kind == MembershipChangeKind::memberRemoved && change.server != self_) {
-    leaderState_->departing = change.server;
+    leaderState_->removedServer = change.server;
   }
 }
 
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -15,8 +15,8 @@
 }
 
 void RaftImpl::flushFollower(base::ServerId server, Progress& progress, bool heartbeat) {
-  const bool behindLog = progress.nextIndex() <= log_.baseIndex();
-  if (behindLog && progress.state() != ProgressState::snapshot) {
+  const bool needsSnapshot = progress.nextIndex() <= log_.baseIndex();
+  if (needsSnapshot && progress.state() != ProgressState::snapshot) {
     progress.beginSnapshot(encodedSnapshot());
   }
   if (progress.state() == ProgressState::snapshot) {
@@ -28,7 +28,7 @@
 
 void RaftImpl::sendAppends(base::ServerId server, Progress& progress, bool heartbeat) {
   if (heartbeat) {
-    progress.heartbeatDue();
+    progress.allowNextProbe();
   }
   bool sent = false;
   while (progress.nextIndex() <= log_.lastIndex() && progress.mayAppend()) {
@@ -37,7 +37,7 @@
     send(server, std::move(request));
     sent = true;
   }
-  if (!sent && (heartbeat || progress.commitUnknown(commitIndex_))) {
+  if (!sent && (heartbeat || progress.needsCommitUpdate(commitIndex_))) {
     AppendRequest request = makeAppend(progress, false);
     progress.appendSent(request.previousIndex, commitIndex_);
     send(server, std::move(request));
--- a/test/consensus/cluster.cpp
+++ b/test/consensus/cluster.cpp
@@ -108,18 +108,18 @@
 void Cluster::startServer(ClusterServer& server) {
   const bool founder = findMember(bootstrap_, server.id()) != nullptr;
   server.start(options_, founder ? bootstrap_ : Membership{}, random_.uniform(0, 1U << 30U), now_);
-  pump(server);
+  processOutputs(server);
 }
 
-void Cluster::pump(ClusterServer& server) {
-  while (server.acts() && !server.syncing()) {
+void Cluster::processOutputs(ClusterServer& server) {
+  while (server.isActive() && !server.syncing()) {
     if (!server.takeOutputs()) {
       release(server);
       break;
     }
-    const std::uint64_t life = server.life();
-    at(now_ + drawSyncTime(), [&server, life, this] {
-      if (server.life() == life && server.running()) {
+    const std::uint64_t incarnation = server.incarnation();
+    at(now_ + drawSyncTime(), [&server, incarnation, this] {
+      if (server.incarnation() == incarnation && server.running()) {
         finishSync(server);
       }
     });
@@ -135,7 +135,7 @@
   }
   server.finishSync();
   release(server);
-  pump(server);
+  processOutputs(server);
 }
 
 void Cluster::release(ClusterServer& server) {
@@ -146,7 +146,7 @@
 }
 
 void Cluster::scheduleWakeup(ClusterServer& server) {
-  if (!server.acts()) {
+  if (!server.isActive()) {
     return;
   }
   const base::TimePoint wanted = std::max(server.raft().nextWakeup(), now_ + 1ms);
@@ -154,15 +154,15 @@
     return;
   }
   server.wakeup = wanted;
-  const std::uint64_t life = server.life();
-  at(wanted, [&server, life, wanted, this] {
-    if (server.life() != life || server.wakeup != wanted) {
+  const std::uint64_t incarnation = server.incarnation();
+  at(wanted, [&server, incarnation, wanted, this] {
+    if (server.incarnation() != incarnation || server.wakeup != wanted) {
       return;
     }
     server.wakeup = base::kNever;
-    if (server.acts()) {
+    if (server.isActive()) {
       server.raft().tick(now_);
-      pump(server);
+      processOutputs(server);
     }
   });
 }
@@ -184,15 +184,15 @@
   }
   ClusterServer& server = *found->second;
   if (server.frozen) {
-    server.held.push_back(message);
+    server.heldMessages.push_back(message);
     return;
   }
   server.raft().receive(now_, message);
-  pump(server);
+  processOutputs(server);
 }
 
 void Cluster::checkLease(ClusterServer& server) {
-  if (!server.acts() || server.raft().status().role != Role::leader) {
+  if (!server.isActive() || server.raft().status().role != Role::leader) {
     return;
   }
   const Term term = server.raft().status().term;
@@ -241,7 +241,7 @@
 
 ClusterServer* Cluster::pickLeader() {
   return pick([](ClusterServer& server) {
-    return server.acts() && server.raft().status().role == Role::leader;
+    return server.isActive() && server.raft().status().role == Role::leader;
   });
 }
 
--- a/test/consensus/cluster.h
+++ b/test/consensus/cluster.h
@@ -60,7 +60,7 @@
   void runUntil(base::TimePoint end);
   ClusterServer& addServer(const Membership& bootstrap);
   void startServer(ClusterServer& server);
-  void pump(ClusterServer& server);
+  void processOutputs(ClusterServer& server);
   void finishSync(ClusterServer& server);
   void release(ClusterServer& server);
   void scheduleWakeup(ClusterServer& server);
--- a/test/consensus/cluster_faults.cpp
+++ b/test/consensus/cluster_faults.cpp
@@ -30,13 +30,13 @@
   every(20ms, 200ms, [this] {
     if (ClusterServer* leader = pickLeader()) {
       leader->beginRead(now_);
-      pump(*leader);
+      processOutputs(*leader);
     }
   });
   every(100ms, 800ms, [this] {
-    if (ClusterServer* server = pick([](ClusterServer& each) { return each.acts(); })) {
+    if (ClusterServer* server = pick([](ClusterServer& each) { return each.isActive(); })) {
       server->compact(random_.uniform(0, 20));
-      pump(*server);
+      processOutputs(*server);
     }
   });
 }
@@ -61,7 +61,7 @@
     default:
       if (ClusterServer* leader = pickLeader()) {
         leader->raft().transferLeadership(now_);
-        pump(*leader);
+        processOutputs(*leader);
       }
   }
 }
@@ -84,24 +84,24 @@
 void Cluster::crash(ClusterServer& server) {
   ++counts_.crashes;
   server.crash(random_);
-  const std::uint64_t life = server.life();
-  at(now_ + random_.between(5ms, 3s), [&server, life, this] {
-    if (server.life() == life && !server.running() && !server.lost) {
+  const std::uint64_t incarnation = server.incarnation();
+  at(now_ + random_.between(5ms, 3s), [&server, incarnation, this] {
+    if (server.incarnation() == incarnation && !server.running() && !server.lost) {
       startServer(server);
     }
   });
 }
 
 void Cluster::freezeServer() {
-  ClusterServer* server = pick([](ClusterServer& each) { return each.acts(); });
+  ClusterServer* server = pick([](ClusterServer& each) { return each.isActive(); });
   if (server == nullptr) {
     return;
   }
   ++counts_.freezes;
   server->frozen = true;
-  const std::uint64_t life = server->life();
-  at(now_ + random_.between(5ms, 4s), [server, life, this] {
-    if (server->life() == life) {
+  const std::uint64_t incarnation = server->incarnation();
+  at(now_ + random_.between(5ms, 4s), [server, incarnation, this] {
+    if (server->incarnation() == incarnation) {
       thaw(*server);
     }
   });
@@ -117,10 +117,10 @@
   if (std::exchange(server.syncDoneWhileFrozen, false)) {
     finishSync(server);
   }
-  for (const Message& message : std::exchange(server.held, {})) {
+  for (const Message& message : std::exchange(server.heldMessages, {})) {
     server.raft().receive(now_, message);
   }
-  pump(server);
+  processOutputs(server);
 }
 
 void Cluster::cutLinks() {
@@ -187,7 +187,7 @@
   if (ClusterServer* leader = pickLeader()) {
     const std::string payload = "command " + std::to_string(++proposals_);
     static_cast<void>(leader->raft().propose(now_, payload));
-    pump(*leader);
+    processOutputs(*leader);
   }
 }
 
@@ -203,7 +203,7 @@
   if (next != current && leader->raft().changeMembership(now_, next)) {
     ++counts_.membershipChanges;
   }
-  pump(*leader);
+  processOutputs(*leader);
 }
 
 void Cluster::addLearner(Membership& membership) {
--- a/test/consensus/cluster_server.cpp
+++ b/test/consensus/cluster_server.cpp
@@ -31,7 +31,7 @@
 
 void ClusterServer::start(const RaftOptions& options, const Membership& bootstrap,
                           std::uint64_t seed, base::TimePoint now) {
-  ++life_;
+  ++incarnation_;
   applied_ = 0;
   digest_ = 0;
   frozen = false;
@@ -49,7 +49,7 @@
   ready_ = {};
   synced_ = false;
   reads_.clear();
-  held.clear();
+  heldMessages.clear();
   syncDoneWhileFrozen = false;
 }
 
--- a/test/consensus/cluster_server.h
+++ b/test/consensus/cluster_server.h
@@ -35,10 +35,10 @@
 
   base::ServerId id() const { return id_; }
   bool running() const { return raft_ != nullptr; }
-  bool acts() const { return running() && !frozen; }
+  bool isActive() const { return running() && !frozen; }
   Raft& raft() { return *raft_; }
   /// Number of starts; events scheduled in an earlier incarnation are ignored.
-  std::uint64_t life() const { return life_; }
+  std::uint64_t incarnation() const { return incarnation_; }
   LogIndex applied() const { return applied_; }
   bool syncing() const { return syncing_.has_value(); }
 
@@ -59,8 +59,8 @@
   void beginRead(base::TimePoint now);
 
   bool frozen = false;
-  bool lost = false;         ///< Its disk is lost permanently.
-  std::deque<Message> held;  ///< Messages that arrived while frozen.
+  bool lost = false;                 ///< Its disk is lost permanently.
+  std::deque<Message> heldMessages;  ///< Messages that arrived while frozen.
   bool syncDoneWhileFrozen = false;
   base::TimePoint wakeup = base::kNever;  ///< Time of the next scheduled tick.
 
@@ -74,7 +74,7 @@
   ClusterChecker& checker_;
   MemoryDisk disk_;
   std::unique_ptr<Raft> raft_;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::optional<RaftOutputs> syncing_;
   RaftOutputs ready_;
   bool synced_ = false;  // ready_ has a synced batch not yet reported.
--- a/test/consensus/election_test.cpp
+++ b/test/consensus/election_test.cpp
@@ -12,7 +12,7 @@
 
 TEST(ElectionTest, singleVoterElectsItselfAndCommits) {
   TestServer server(1, makeMembership(1));
-  server.wake();
+  server.advanceToWakeup();
   CHECK_TRUE(server.status().role == Role::leader);
   const auto index = server.raft().propose(server.now(), "one");
   CHECK_TRUE(index.has_value());
@@ -25,7 +25,7 @@
 TEST(ElectionTest, preVoteLeavesTermUntilMajorityAnswers) {
   TestServer server(1, makeMembership(3));
   const Term term = server.status().term;
-  server.wake();
+  server.advanceToWakeup();
   CHECK_TRUE(server.status().role == Role::preCandidate);
   CHECK_EQUAL(term, server.status().term);
   const auto requests = server.takeSentBodies<VoteRequest>();
--- a/test/consensus/hand_over_test.cpp
+++ b/test/consensus/leadership_transfer_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_GROUP(HandOverTest) {
+TEST_GROUP(LeadershipTransferTest) {
   TestServer server{1, makeMembership(3)};
   Term term = 0;
   std::uint64_t round = 1;  // Latest heartbeat round.
@@ -48,14 +48,14 @@
   }
 };
 
-TEST(HandOverTest, goesToTheMostUpToDateVoterThatAnswers) {
+TEST(LeadershipTransferTest, goesToTheMostUpToDateResponsiveVoter) {
   server.receive(2, makeAccepted(term, 1, round));
   acceptAll(3);
   transfer();
   CHECK_EQUAL(3U, timeoutNowTarget());
 }
 
-TEST(HandOverTest, waitsUntilTheTargetHasTheWholeLog) {
+TEST(LeadershipTransferTest, waitsUntilTheTargetHasTheWholeLog) {
   server.receive(2, makeAccepted(term, 1, round));
   transfer();
   CHECK_EQUAL(0U, timeoutNowTarget());
@@ -64,7 +64,7 @@
   CHECK_EQUAL(2U, timeoutNowTarget());
 }
 
-TEST(HandOverTest, takesNoProposalsMeanwhile) {
+TEST(LeadershipTransferTest, takesNoProposalsMeanwhile) {
   acceptAll(2);
   transfer();
   CHECK_TRUE(server.raft().propose(server.now(), "x").error().code == base::ErrorCode::notLeader);
@@ -72,20 +72,20 @@
   CHECK_TRUE(change.error().code == base::ErrorCode::notLeader);
 }
 
-TEST(HandOverTest, theLeaseEndsWithTimeoutNow) {
+TEST(LeadershipTransferTest, theLeaseEndsWithTimeoutNow) {
   acceptAll(2);
   CHECK_TRUE(server.raft().leaseValid(server.now()));
   transfer();
   CHECK_FALSE(server.raft().leaseValid(server.now()));
 }
 
-TEST(HandOverTest, withoutAnAnsweringVoterNothingHappens) {
+TEST(LeadershipTransferTest, isNotStartedWithoutAResponsiveVoter) {
   transfer();
   CHECK_EQUAL(0U, timeoutNowTarget());
   CHECK_TRUE(server.raft().propose(server.now(), "x").has_value());
 }
 
-TEST(HandOverTest, isAbandonedIfTheTargetNeverCatchesUp) {
+TEST(LeadershipTransferTest, isAbandonedIfTheTargetNeverCatchesUp) {
   server.receive(2, makeAccepted(term, 1, round));
   server.receive(3, makeAccepted(term, 1, round));
   transfer();
@@ -100,7 +100,7 @@
   CHECK_TRUE(server.raft().propose(server.now(), "x").has_value());
 }
 
-TEST(HandOverTest, afterTimeoutNowTheTermIsNotTrustedAgain) {
+TEST(LeadershipTransferTest, afterTimeoutNowTheTermIsNotTrustedAgain) {
   acceptAll(2);
   transfer();
   const base::TimePoint begun = server.now();
@@ -113,7 +113,7 @@
   CHECK_EQUAL(term + 1, server.status().term);
 }
 
-TEST(HandOverTest, theTargetStandsAtOnceAndPassesTheLease) {
+TEST(LeadershipTransferTest, theTargetStartsAnElectionAtOnceDespiteTheLease) {
   TestServer target(1, makeMembership(3));
   target.receive(2, makeAppend(2, kBootstrap, {}));
   target.takeSent();
@@ -126,7 +126,7 @@
   CHECK_FALSE(requests.front().preVote);
 }
 
-TEST(HandOverTest, timeoutNowThatDoesNotCount) {
+TEST(LeadershipTransferTest, invalidTimeoutNowIsIgnored) {
   struct Case {
     std::uint64_t from;
     Term term;
@@ -140,7 +140,7 @@
   }
 }
 
-TEST(HandOverTest, aLearnerIgnoresTimeoutNow) {
+TEST(LeadershipTransferTest, aLearnerIgnoresTimeoutNow) {
   Membership membership = makeMembership(2);
   membership.members.push_back(makeMember(3, MemberRole::learner));
   TestServer target(3, membership);
@@ -227,7 +227,7 @@
 
 TEST(ReadIndexTest, aSingleVoterConfirmsItself) {
   TestServer single(1, makeMembership(1));
-  single.wake();
+  single.advanceToWakeup();
   const auto token = single.raft().beginRead(single.now());
   CHECK_EQUAL(2U, single.raft().readReady(token.value()).value().value());
 }
--- a/test/consensus/lost_tail_test.cpp
+++ b/test/consensus/lost_log_tail_test.cpp
@@ -39,9 +39,9 @@
 
 }  // namespace
 
-TEST_GROUP(LostTail){};
+TEST_GROUP(LostLogTailTest){};
 
-TEST(LostTail, leaderGoesBackBehindWhatWasAcknowledged) {
+TEST(LostLogTailTest, leaderResendsLostAcknowledgedEntries) {
   TestServer leader(1, makeMembership(3));
   leader.elect();
   CHECK_TRUE(leader.raft().propose(leader.now(), "one").has_value());
@@ -52,19 +52,19 @@
   const LogIndex committed = leader.status().commitIndex;
   CHECK_EQUAL(leader.status().lastIndex, committed);
 
-  leader.wake();
+  leader.advanceToWakeup();
   refuse(leader, lastAppend(leader), committed);
   const AppendRequest again = lastAppend(leader);
   CHECK_EQUAL(committed - 1, again.previousIndex);
   CHECK_EQUAL(1U, again.entries.size());
   CHECK_EQUAL_TEXT(committed, leader.status().commitIndex, "the commit index must not decrease");
 
-  leader.wake();
+  leader.advanceToWakeup();
   refuse(leader, lastAppend(leader), committed - 1);
   CHECK_EQUAL(2U, lastAppend(leader).entries.size());
 }
 
-TEST(LostTail, lostEntryCountsNoMoreForCommitment) {
+TEST(LostLogTailTest, lostEntryNoLongerCountsForCommitment) {
   TestServer leader(1, makeMembership(5));
   leader.elect();
   leader.acknowledge(kFollower);
@@ -73,7 +73,7 @@
   leader.acknowledge(kFollower);
   leader.acknowledge(kFollower);
   const LogIndex last = leader.status().lastIndex;
-  leader.wake();
+  leader.advanceToWakeup();
   refuse(leader, lastAppend(leader), last);
   AppendReply accepted;
   accepted.term = leader.status().term;
--- a/test/consensus/membership_change_test.cpp
+++ b/test/consensus/membership_change_test.cpp
@@ -122,7 +122,7 @@
   CHECK_TRUE(fresh.raft().changeMembership(fresh.now(), next).has_value());
 }
 
-TEST(MembershipChangeTest, itIsInForceAsSoonAsItIsAppended) {
+TEST(MembershipChangeTest, aChangeTakesEffectOnceItIsAppended) {
   const LogIndex index = change(with(initial, 4, MemberRole::learner)).value();
   CHECK_EQUAL(index, server.status().membershipIndex);
   CHECK_TRUE(index > server.status().commitIndex);
@@ -161,7 +161,7 @@
   CHECK_EQUAL(index, server.status().commitIndex);
 }
 
-TEST(MembershipChangeTest, aLearnerThatFellSilentIsNotPromoted) {
+TEST(MembershipChangeTest, anUnresponsiveLearnerIsNotPromoted) {
   changeAndCommit(with(initial, 4, MemberRole::learner));
   server.receive(4, makeAccepted(term, server.status().lastIndex, 1));
   for (std::uint64_t round = 2; round < 8; ++round) {
@@ -206,7 +206,7 @@
   CHECK_TRUE(server.raft().nextWakeup() == base::kNever);
 }
 
-TEST(MembershipChangeTest, aRemovedServerDoesNotUnseatTheLeader) {
+TEST(MembershipChangeTest, aRemovedServerDoesNotDeposeTheLeader) {
   changeAndCommit(without(initial, 3));
   server.receive(3, makeRefused(term + 9, 0));
   server.receive(3, makeVoteRequest(term + 9, {99, term + 8}));
@@ -241,7 +241,7 @@
   CHECK_EQUAL(index + 1, server.status().membershipIndex);
 }
 
-TEST(MembershipChangeTest, theLastServerOfTwoGoesOnAlone) {
+TEST(MembershipChangeTest, aCellShrinksFromTwoServersToOne) {
   changeAndCommit(without(initial, 3));
   const LogIndex index = change(without(server.status().membership, 2)).value();
   CHECK_EQUAL(index, server.status().commitIndex);
--- a/test/consensus/replication_test.cpp
+++ b/test/consensus/replication_test.cpp
@@ -115,7 +115,7 @@
   CHECK_EQUAL(7U, server.disk().lastIndex());
 }
 
-TEST(FollowerTest, commitGoesNoFurtherThanWhatIsKnownToMatch) {
+TEST(FollowerTest, commitIndexNeverExceedsTheMatchingIndex) {
   TestServer server = makeFollower();
   // The follower's entries 6 and 7 may differ from this leader's.
   server.receive(3, makeAppend(4, {5, 3}, {}, 7));
@@ -123,7 +123,7 @@
   CHECK_EQUAL(5U, server.applied().size());
 }
 
-TEST(FollowerTest, commitNeverGoesBack) {
+TEST(FollowerTest, commitIndexNeverDecreases) {
   TestServer server = makeFollower(6);
   server.receive(2, makeAppend(3, {7, 3}, {}, 2));
   CHECK_EQUAL(6U, server.status().commitIndex);
@@ -139,7 +139,7 @@
   CHECK_EQUAL(7U, server.status().lastIndex);
 }
 
-TEST(FollowerTest, aFormerLeaderIsToldTheTermAndChangesNothing) {
+TEST(FollowerTest, aPreviousLeaderGetsTheCurrentTermAndChangesNothing) {
   TestServer server = makeFollower();
   server.receive(3, makeAppend(2, {4, 2}, makeEntries(2, 5, 9), 9));
   const AppendReply reply = onlyReply(server);
@@ -295,7 +295,7 @@
   CHECK_EQUAL(index, lastAppendTo(2).previousIndex);
 }
 
-TEST(LeaderTest, repliesThatDoNotCount) {
+TEST(LeaderTest, invalidRepliesAreIgnored) {
   const LogIndex index = propose();
   server.receive(2, makeAccepted(term - 1, index));  // Earlier term.
   server.receive(2, makeAccepted(term, index + 1));  // Past the end of the log.
@@ -330,7 +330,7 @@
   CHECK_FALSE(server.takeSentBodies<AppendReply>().front().accepted);
 }
 
-TEST(LeaderTest, aSilentFollowerGetsBoundedWork) {
+TEST(LeaderTest, appendsToAnUnresponsiveFollowerAreBounded) {
   server.receive(2, makeAccepted(term, 2));
   server.takeSent();
   for (int count = 0; count < 100; ++count) {
--- a/test/consensus/snapshot_transfer_test.cpp
+++ b/test/consensus/snapshot_transfer_test.cpp
@@ -132,7 +132,7 @@
   CHECK_TRUE(server.installed() == snapshot);
 }
 
-TEST(SnapshotReceiveTest, oneOfAFormerTermIsRefused) {
+TEST(SnapshotReceiveTest, aChunkOfAnEarlierTermIsRefused) {
   server.receive(3, makeAppend(6, kBootstrap, {}));
   const SnapshotReply reply = receive(chunks[0]);
   CHECK_EQUAL(6U, reply.term);
@@ -140,7 +140,7 @@
   CHECK_EQUAL(3U, server.status().leader.value);
 }
 
-TEST(SnapshotReceiveTest, oneThatTheLogAlreadyCoversOnlyCommits) {
+TEST(SnapshotReceiveTest, aSnapshotThatTheLogAlreadyCoversOnlyCommits) {
   server.receive(2, makeAppend(3, kBootstrap, makeEntries(3, 2, 30)));
   receiveAll(chunks);
   CHECK_FALSE(server.installed().has_value());
--- a/test/consensus/test_server.h
+++ b/test/consensus/test_server.h
@@ -68,7 +68,7 @@
     drain();
   }
   /// Advances the clock to the next wakeup.
-  void wake() { advance(raft_->nextWakeup() - now_); }
+  void advanceToWakeup() { advance(raft_->nextWakeup() - now_); }
 
   void receive(std::uint64_t from, MessageBody body) {
     raft_->receive(now_, {base::ServerId{from}, raft_->status().self, std::move(body)});
@@ -80,7 +80,7 @@
 
   /// Makes the server leader of a cell of three or more, with the votes of 2 and, if needed, 3.
   void elect() {
-    wake();
+    advanceToWakeup();
     for (const bool preVote : {true, false}) {
       for (const std::uint64_t voter : {2U, 3U}) {
         VoteReply reply;
--- a/test/consensus/vote_test.cpp
+++ b/test/consensus/vote_test.cpp
@@ -117,7 +117,7 @@
   CHECK_EQUAL(5U, server.status().term);
 }
 
-TEST(VoteTest, aHandOverPassesTheLease) {
+TEST(VoteTest, aLeadershipTransferBypassesTheLease) {
   TestServer server = makeIdleServer();
   server.receive(2, makeAppend(2, kBootstrap, {}));
   server.takeSent();
@@ -172,7 +172,7 @@
 
 TEST(VoteTest, aCandidateDoesNotCountItsOwnVoteBeforeItIsDurable) {
   TestServer server(1, makeMembership(3));
-  server.wake();
+  server.advanceToWakeup();
   const Term next = server.status().term + 1;
   server.raft().receive(server.now(),
                         {base::ServerId{2}, base::ServerId{1}, VoteReply{next, true, true}});
@@ -202,13 +202,13 @@
   CHECK_TRUE(server.status().role == Role::leader);
 }
 
-TEST(VoteTest, votesThatDoNotCount) {
+TEST(VoteTest, invalidVotesAreIgnored) {
   struct Case {
     std::uint64_t from;
     VoteReply reply;
   };
   TestServer server(1, makeMembership(5));
-  server.wake();
+  server.advanceToWakeup();
   const Term next = server.status().term + 1;
   server.receive(2, VoteReply{next, true, true});
   server.receive(3, VoteReply{next, true, true});
@@ -228,7 +228,7 @@
 
 TEST(VoteTest, aHigherTermInAReplyEndsTheCandidacy) {
   TestServer server(1, makeMembership(3));
-  server.wake();
+  server.advanceToWakeup();
   server.receive(2, VoteReply{9, true, false});
   CHECK_TRUE(server.status().role == Role::follower);
   CHECK_EQUAL(9U, server.status().term);
@@ -237,7 +237,7 @@
 
 TEST(VoteTest, aCandidateFollowsTheLeaderOfItsTerm) {
   TestServer server(1, makeMembership(3));
-  server.wake();
+  server.advanceToWakeup();
   server.receive(2, VoteReply{2, true, true});
   CHECK_TRUE(server.status().role == Role::candidate);
   server.receive(3, makeAppend(2, kBootstrap, {}));
@@ -262,14 +262,14 @@
   server.elect();
   const base::TimePoint elected = server.now();
   while (server.status().role == Role::leader) {
-    server.wake();
+    server.advanceToWakeup();
   }
   CHECK_TRUE(server.now() - elected <= RaftOptions{}.electionTimeoutMin);
   CHECK_FALSE(server.raft().leaseValid(server.now()));
   CHECK_TRUE(server.raft().propose(server.now(), "x").error().code == base::ErrorCode::notLeader);
 }
 
-TEST(VoteTest, aThawedLeaderHasNoLease) {
+TEST(VoteTest, aLeaderThatResumesAfterAPauseHasNoLease) {
   TestServer server(1, makeMembership(3));
   server.elect();
   server.acknowledge(2);
