--- a/src/storage/log_storage.cpp
+++ b/src/storage/log_storage.cpp
@@ -125,9 +125,9 @@
     file.snapshot = *batch.snapshot;
     BOOST_OUTCOME_TRY(stateFiles_.writeSnapshot(file));
     if (replacesLog) {
-      return log_.replacedBy(file.snapshot.lastIndex);
+      return log_.replaceBySnapshot(file.snapshot.lastIndex);
     }
-    log_.coveredBy(file.snapshot.lastIndex);
+    log_.onSnapshotSaved(file.snapshot.lastIndex);
     return base::success();
   }
 
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -26,8 +26,8 @@
   /// Checksum of segment number, offset and size. Checked first, so that the search for intact
   /// frames doesn't hash the rest of the file at each copy of the magic number, since a command may
   /// contain such copies.
-  std::uint64_t placeChecksum = 0;
-  std::uint64_t checksum = 0;  // Checksum of the payload, with placeChecksum as seed.
+  std::uint64_t locationChecksum = 0;
+  std::uint64_t checksum = 0;  // Checksum of the payload, with locationChecksum as seed.
 };
 static_assert(sizeof(FrameHeader) == 24, "the header is written as it is in memory");
 
@@ -43,16 +43,18 @@
 };
 
 /// Location and size of a frame.
-struct FramePlace {
+struct FrameLocation {
   SegmentNumber number = 0;
   std::uint64_t offset = 0;
   std::uint64_t payloadBytes = 0;
 };
 
-std::uint64_t checksumOf(const FramePlace& place) { return XXH3_64bits(&place, sizeof(place)); }
+std::uint64_t checksumOf(const FrameLocation& location) {
+  return XXH3_64bits(&location, sizeof(location));
+}
 
-std::uint64_t checksumOf(std::string_view payload, std::uint64_t placeChecksum) {
-  return XXH3_64bits_withSeed(payload.data(), payload.size(), placeChecksum);
+std::uint64_t checksumOf(std::string_view payload, std::uint64_t locationChecksum) {
+  return XXH3_64bits_withSeed(payload.data(), payload.size(), locationChecksum);
 }
 
 /// Frame with a valid checksum, not yet decoded.
@@ -71,18 +73,18 @@
   const std::uint64_t available = bytes.size() - offset - sizeof(header);
   if (header.magic != kFrameMagic || header.payloadBytes > kMaxFrameBytes ||
       header.payloadBytes > available ||
-      header.placeChecksum != checksumOf({number, offset, header.payloadBytes})) {
+      header.locationChecksum != checksumOf({number, offset, header.payloadBytes})) {
     return std::nullopt;
   }
   const std::string_view payload = bytes.substr(offset + sizeof(header), header.payloadBytes);
-  if (header.checksum != checksumOf(payload, header.placeChecksum)) {
+  if (header.checksum != checksumOf(payload, header.locationChecksum)) {
     return std::nullopt;
   }
   return RawFrame{payload, header.checksum};
 }
 
 /// @return true if an intact frame begins anywhere at or after `offset`.
-bool intactFrameBehind(SegmentNumber number, std::string_view bytes, std::uint64_t offset) {
+bool hasIntactFrameFrom(SegmentNumber number, std::string_view bytes, std::uint64_t offset) {
   const std::string_view magic(reinterpret_cast<const char*>(&kFrameMagic), sizeof(kFrameMagic));
   std::size_t candidate = bytes.find(magic, offset);
   while (candidate != std::string_view::npos) {
@@ -165,8 +167,8 @@
   }
   FrameHeader header;
   header.payloadBytes = static_cast<std::uint32_t>(encoded.size());
-  header.placeChecksum = checksumOf({number, offset, encoded.size()});
-  header.checksum = checksumOf(encoded, header.placeChecksum);
+  header.locationChecksum = checksumOf({number, offset, encoded.size()});
+  header.checksum = checksumOf(encoded, header.locationChecksum);
   EncodedFrame result;
   result.checksum = header.checksum;
   result.bytes.assign(sizeof(header), '\0');
@@ -190,7 +192,7 @@
     segment.lastChecksum = raw->checksum;
   }
   if (!segment.headerIntact || segment.end == SegmentEnd::torn) {
-    const bool behind = intactFrameBehind(number, bytes, segment.intactBytes);
+    const bool behind = hasIntactFrameFrom(number, bytes, segment.intactBytes);
     segment.end = behind ? SegmentEnd::damaged : SegmentEnd::torn;
   }
   return segment;
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -61,14 +61,14 @@
     return corruptFile(name, "damaged at byte " + std::to_string(parsed.intactBytes));
   }
   if (parsed.end == SegmentEnd::torn) {
-    BOOST_OUTCOME_TRY(cutTail(number, parsed));
+    BOOST_OUTCOME_TRY(truncateTail(number, parsed));
   }
   nextNumber_ = number;
   if (!parsed.headerIntact) {
     return base::success();
   }
   nextNumber_ = number + 1;
-  BOOST_OUTCOME_TRY(checkPlace(parsed));
+  BOOST_OUTCOME_TRY(checkPosition(parsed));
   Segment segment{number, parsed.intactBytes, parsed.lastChecksum, 0};
   for (const LogFrame& frame : parsed.frames) {
     BOOST_OUTCOME_TRY(replayFrame(frame, segment, entries));
@@ -77,7 +77,7 @@
   return base::success();
 }
 
-base::Result<void> SegmentedLog::checkPlace(const ParsedSegment& parsed) const {
+base::Result<void> SegmentedLog::checkPosition(const ParsedSegment& parsed) const {
   if (segments_.empty()) {
     return base::success();
   }
@@ -110,7 +110,7 @@
   return base::success();
 }
 
-base::Result<void> SegmentedLog::cutTail(SegmentNumber number, const ParsedSegment& parsed) {
+base::Result<void> SegmentedLog::truncateTail(SegmentNumber number, const ParsedSegment& parsed) {
   const std::string name = segmentFileName(number);
   if (parsed.headerIntact) {
     return files_.truncate(name, parsed.intactBytes);
@@ -149,7 +149,7 @@
   }
   const bool startsNew = segments_.empty() || segments_.back().bytes >= segmentBytes_;
   BOOST_OUTCOME_TRY(startsNew ? appendToNew(frame) : appendToLast(frame));
-  noteEntries(frame);
+  updateGreatestIndex(frame);
   lastIndex_ = last;
   return base::success();
 }
@@ -184,14 +184,14 @@
   return base::success();
 }
 
-void SegmentedLog::noteEntries(const LogFrame& frame) {
+void SegmentedLog::updateGreatestIndex(const LogFrame& frame) {
   if (!frame.entries.empty()) {
     consensus::LogIndex& greatest = segments_.back().greatestIndex;
     greatest = std::max(greatest, frame.entries.back().index);
   }
 }
 
-base::Result<void> SegmentedLog::replacedBy(consensus::LogIndex snapshotIndex) {
+base::Result<void> SegmentedLog::replaceBySnapshot(consensus::LogIndex snapshotIndex) {
   last_.reset();
   for (const Segment& segment : segments_) {
     // Needs no folder sync: recovery ignores segments below the snapshot's first segment.
--- a/src/storage/segmented_log.h
+++ b/src/storage/segmented_log.h
@@ -46,9 +46,9 @@
 
   /// Records that a durable snapshot covers the entries up to `snapshotIndex`, which is below the
   /// last index of the log.
-  void coveredBy(consensus::LogIndex snapshotIndex) { snapshotIndex_ = snapshotIndex; }
+  void onSnapshotSaved(consensus::LogIndex snapshotIndex) { snapshotIndex_ = snapshotIndex; }
   /// Removes all entries; called once the snapshot that replaces them is durable.
-  base::Result<void> replacedBy(consensus::LogIndex snapshotIndex);
+  base::Result<void> replaceBySnapshot(consensus::LogIndex snapshotIndex);
   /// Removes the oldest segments, as long as all their entries are <= `index` and covered by the
   /// snapshot.
   base::Result<void> removeUpTo(consensus::LogIndex index);
@@ -65,14 +65,14 @@
                                                           SegmentNumber first);
   base::Result<void> replaySegment(SegmentNumber number, bool isLast,
                                    std::vector<consensus::LogEntry>& entries);
-  base::Result<void> checkPlace(const ParsedSegment& parsed) const;
+  base::Result<void> checkPosition(const ParsedSegment& parsed) const;
   base::Result<void> replayFrame(const LogFrame& frame, Segment& segment,
                                  std::vector<consensus::LogEntry>& entries);
-  base::Result<void> cutTail(SegmentNumber number, const ParsedSegment& parsed);
+  base::Result<void> truncateTail(SegmentNumber number, const ParsedSegment& parsed);
   base::Result<void> openLast();
   base::Result<void> appendToLast(const LogFrame& frame);
   base::Result<void> appendToNew(const LogFrame& frame);
-  void noteEntries(const LogFrame& frame);
+  void updateGreatestIndex(const LogFrame& frame);
 
   FileSystem& files_;
   std::uint64_t segmentBytes_;
--- a/test/storage/crash_test.cpp
+++ b/test/storage/crash_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t kSegmentBytes = 200;
 /// Limit above the number of operations of the whole script; the loops end at the first run without
 /// a failure.
-constexpr std::uint64_t kEndless = 100'000;
+constexpr std::uint64_t kMaxOperations = 100'000;
 
 /// Result of a run of the script: the states that may be recovered after it.
 struct Run {
@@ -77,9 +77,9 @@
 TEST(CrashTest, everyCrashPointLeavesAPrefix) {
   for (const Crash& crash : allCrashes()) {
     bool finished = false;
-    for (std::uint64_t point = 0; !finished && point < kEndless; ++point) {
+    for (std::uint64_t point = 0; !finished && point < kMaxOperations; ++point) {
       MemoryFileSystem files;
-      files.stopAfter(point);
+      files.failAfter(point);
       const Run run = runScript(files);
       finished = run.finished;
       files.crash(crash);
@@ -92,15 +92,15 @@
 TEST(CrashTest, everyCrashWithinRecoveryLeavesAPrefix) {
   for (const Crash& crash : allCrashes()) {
     bool finished = false;
-    for (std::uint64_t point = 0; !finished && point < kEndless; ++point) {
+    for (std::uint64_t point = 0; !finished && point < kMaxOperations; ++point) {
       bool recovered = false;
       for (std::uint64_t second = 0; !recovered; ++second) {
         MemoryFileSystem files;
-        files.stopAfter(point);
+        files.failAfter(point);
         const Run run = runScript(files);
         finished = run.finished;
         files.crash(crash);
-        files.stopAfter(second);
+        files.failAfter(second);
         recovered = makeLogStorage(files, kSegmentBytes)->recover(kIdentity).has_value();
         files.crash(crash);
         checkRecovers(files, run);
@@ -109,14 +109,14 @@
   }
 }
 
-TEST(CrashTest, processDeathAloneLosesNothingThatRecoveryReported) {
+TEST(CrashTest, recoveredStateSurvivesALaterMachineCrash) {
   // After a crash of the process alone, unsynced data is still readable. What the next process
   // recovers must not be lost if the machine stops later.
-  for (std::uint64_t point = 0; point < kEndless; ++point) {
+  for (std::uint64_t point = 0; point < kMaxOperations; ++point) {
     MemoryFileSystem files;
-    files.stopAfter(point);
+    files.failAfter(point);
     const Run run = runScript(files);
-    files.stopAfter(kEndless);
+    files.failAfter(kMaxOperations);
     const auto recovered = makeLogStorage(files, kSegmentBytes)->recover(kIdentity);
     CHECK_TRUE(recovered.has_value());
     files.crash({DataLoss::all, FolderLoss::all});
@@ -135,9 +135,9 @@
   CHECK_TRUE(storage->recover(kIdentity).has_value());
   consensus::PersistBatch batch;
   batch.entries = makeEntries(1, 1, 1);
-  files.stopAfter(1);
+  files.failAfter(1);
   CHECK_FALSE(storage->persist(batch).has_value());
-  files.stopAfter(kEndless);
+  files.failAfter(kMaxOperations);
   const auto refused = storage->persist(batch);
   CHECK_FALSE(refused.has_value());
   CHECK_TRUE(refused.error().code == base::ErrorCode::internal);
--- a/test/storage/damage_test.cpp
+++ b/test/storage/damage_test.cpp
@@ -172,7 +172,7 @@
   }
 }
 
-TEST(DamageTest, aLostFileIsNamed) {
+TEST(DamageTest, aLostFileIsReportedByName) {
   const Folder pristine = makeFolder();
   const std::vector<std::string> segments = segmentsOf(pristine.files);
   for (const std::string& name : namesOf(pristine.files)) {
--- a/test/storage/log_storage_test.cpp
+++ b/test/storage/log_storage_test.cpp
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(LogStorageTest, namesOfOthersAreLeftAlone) {
+TEST(LogStorageTest, unknownFilesAreNotTouched) {
   const std::vector<std::string> names = {"notes.tmp", "log-1",           "log-zzzzzzzzzzzzzzzz",
                                           "log-",      "snapshot.backup", "lost+found"};
   for (const std::string& name : names) {
@@ -81,7 +81,7 @@
 
 TEST(LogStorageTest, emptyBatchDoesNothing) {
   CHECK_TRUE(storage->recover(kIdentity).has_value());
-  files.stopAfter(0);
+  files.failAfter(0);
   CHECK_TRUE(storage->persist({}).has_value());
 }
 
@@ -105,7 +105,7 @@
       batch.truncateFrom = each.truncateFrom;
     }
     batch.entries = makeEntries(2, each.from, each.from);
-    folder.stopAfter(0);
+    folder.failAfter(0);
     CHECK_TRUE(logStorage->persist(batch).error().code == base::ErrorCode::internal);
   }
 }
--- a/test/storage/memory_file_system.cpp
+++ b/test/storage/memory_file_system.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-base::Error stopped(const std::string& name) {
+base::Error stoppedError(const std::string& name) {
   return base::Error{base::ErrorCode::fileError, name, "stopped"};
 }
 
@@ -16,17 +16,17 @@
       : files_(files), file_(std::move(file)) {}
 
   base::Result<void> append(std::string_view bytes) override {
-    if (!files_.admit()) {
+    if (!files_.countOperation()) {
       file_->data.append(bytes.substr(0, bytes.size() / 2));
-      return stopped("append");
+      return stoppedError("append");
     }
     file_->data.append(bytes);
     return base::success();
   }
 
   base::Result<void> sync() override {
-    if (!files_.admit()) {
-      return stopped("sync");
+    if (!files_.countOperation()) {
+      return stoppedError("sync");
     }
     file_->synced = file_->data;
     return base::success();
@@ -37,7 +37,7 @@
   std::shared_ptr<MemoryFile> file_;
 };
 
-std::string survivor(const MemoryFile& file, DataLoss loss) {
+std::string contentsAfterCrash(const MemoryFile& file, DataLoss loss) {
   if (!file.data.starts_with(file.synced)) {
     return loss == DataLoss::none ? file.data : file.synced;
   }
@@ -77,7 +77,7 @@
   folder_[name] = std::make_shared<MemoryFile>(MemoryFile{bytes, bytes});
 }
 
-bool MemoryFileSystem::admit() {
+bool MemoryFileSystem::countOperation() {
   if (!operationsLeft_) {
     return true;
   }
@@ -120,8 +120,8 @@
 }
 
 base::Result<std::unique_ptr<AppendFile>> MemoryFileSystem::openForAppend(const std::string& name) {
-  if (!admit()) {
-    return stopped(name);
+  if (!countOperation()) {
+    return stoppedError(name);
   }
   if (!folder_.contains(name)) {
     change({{name, std::make_shared<MemoryFile>()}});
@@ -130,8 +130,8 @@
 }
 
 base::Result<void> MemoryFileSystem::truncate(const std::string& name, std::uint64_t bytes) {
-  if (!admit()) {
-    return stopped(name);
+  if (!countOperation()) {
+    return stoppedError(name);
   }
   MemoryFile& file = *folder_.at(name);
   file.data.resize(bytes);
@@ -140,16 +140,16 @@
 }
 
 base::Result<void> MemoryFileSystem::rename(const std::string& from, const std::string& to) {
-  if (!admit()) {
-    return stopped(from);
+  if (!countOperation()) {
+    return stoppedError(from);
   }
   change({{to, folder_.at(from)}, {from, nullptr}});
   return base::success();
 }
 
 base::Result<void> MemoryFileSystem::remove(const std::string& name) {
-  if (!admit()) {
-    return stopped(name);
+  if (!countOperation()) {
+    return stoppedError(name);
   }
   if (!folder_.contains(name)) {
     return base::Error{base::ErrorCode::fileError, name, "no such file"};
@@ -159,8 +159,8 @@
 }
 
 base::Result<void> MemoryFileSystem::syncFolder() {
-  if (!admit()) {
-    return stopped("folder");
+  if (!countOperation()) {
+    return stoppedError("folder");
   }
   durableFolder_ = folder_;
   unsynced_.clear();
@@ -182,7 +182,7 @@
   unsynced_.clear();
   folder_ = durableFolder_;
   for (auto& [name, file] : folder_) {
-    file->data = survivor(*file, crash.data);
+    file->data = contentsAfterCrash(*file, crash.data);
     file->synced = file->data;
   }
 }
--- a/test/storage/memory_file_system.h
+++ b/test/storage/memory_file_system.h
@@ -47,13 +47,13 @@
 
   /// Makes all operations after the next `operations` fail. If the first failing operation is an
   /// append, it writes half of its bytes; otherwise it has no effect.
-  void stopAfter(std::uint64_t operations) { operationsLeft_ = operations; }
+  void failAfter(std::uint64_t operations) { operationsLeft_ = operations; }
   /// Simulates a crash and restart of the machine.
   void crash(const Crash& crash);
 
   /// Counts an operation.
   /// @return false if the operation must fail.
-  bool admit();
+  bool countOperation();
   /// Replaces a file's contents to simulate damage; copies of this file system keep the old
   /// contents.
   void replaceContents(const std::string& name, const std::string& bytes);
--- a/test/storage/segment_test.cpp
+++ b/test/storage/segment_test.cpp
@@ -103,7 +103,7 @@
   CHECK_FALSE_TEXT(parseSegment(kNumber + 1, pristine).value().headerIntact, "renamed");
 }
 
-TEST(SegmentTest, oversizedLengthsAreNotBelieved) {
+TEST(SegmentTest, oversizedLengthsAreRejected) {
   const std::string pristine = makeSegment();
   const std::size_t lengthAt = header().size() + sizeof(std::uint32_t);
   for (const std::uint32_t length : {0U, 1U, 0x7fffffffU, 0xffffffffU}) {
--- a/test/storage/simulated_disk_test.cpp
+++ b/test/storage/simulated_disk_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kSeeds = 300;
 constexpr std::uint64_t kBatches = 40;
 /// Approximate maximum number of disk operations per batch.
-constexpr std::uint64_t kOperations = 20;
+constexpr std::uint64_t kMaxOperationsPerBatch = 20;
 constexpr std::uint64_t kSegmentBytes = 400;
 constexpr double kCrashChance = 0.3;
 
@@ -35,7 +35,7 @@
     const std::vector<consensus::RecoveredState> prefixes = prefixStates(state_, batch);
     const bool crashes = random_.chance(kCrashChance);
     if (crashes) {
-      disk_.armFailure(random_.uniform(0, kOperations));
+      disk_.armFailure(random_.uniform(0, kMaxOperationsPerBatch));
     }
     const bool durable = storage_->persist(batch).has_value();
     state_ = prefixes.back();
