--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -16,9 +16,9 @@
 using base::ErrorCode;
 using base::Result;
 
-constexpr std::size_t kReadBytes = 64U << 10U;
+constexpr std::size_t kReadBufferBytes = 64U << 10U;
 /// Maximum number of reads from one connection before other connections are served.
-constexpr int kReadsPerTurn = 16;
+constexpr int kMaxReadsPerIteration = 16;
 
 Error lost(const std::string& detail) { return {ErrorCode::connectionLost, "connection", detail}; }
 
@@ -57,9 +57,9 @@
 
 Result<std::size_t> Connection::receive(base::TimePoint now, const MessageHandler& onMessage) {
   // The read buffer is shared by all connections, so that idle ones need none.
-  static thread_local std::array<char, kReadBytes> buffer;
+  static thread_local std::array<char, kReadBufferBytes> buffer;
   std::size_t total = 0;
-  for (int turn = 0; turn < kReadsPerTurn; ++turn) {
+  for (int iteration = 0; iteration < kMaxReadsPerIteration; ++iteration) {
     int count = 0;
     try {
       count = socket_.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -51,7 +51,7 @@
   base::Result<std::size_t> flush();
 
   /// @return true if writable events are needed, to finish connecting or to continue writing.
-  bool wantsWrite() const { return state_ == ConnectionState::connecting || !output_.empty(); }
+  bool needsWrite() const { return state_ == ConnectionState::connecting || !output_.empty(); }
 
   protocol::ConnectionId id() const { return id_; }
   const Poco::Net::StreamSocket& socket() const { return socket_; }
--- a/src/transport/transport_impl.cpp
+++ b/src/transport/transport_impl.cpp
@@ -24,7 +24,7 @@
 constexpr int kListenBacklog = 512;
 /// Time for which accepting is suspended when the system runs out of descriptors or memory.
 constexpr base::Duration kAcceptPause = std::chrono::milliseconds(100);
-constexpr base::Duration kLongestPoll = std::chrono::seconds(1);
+constexpr base::Duration kMaxPollDuration = std::chrono::seconds(1);
 
 base::Endpoint toEndpoint(const Poco::Net::SocketAddress& address) {
   return {address.host().toString(), address.port()};
@@ -111,8 +111,8 @@
 
 void TransportImpl::pollOnce() {
   const base::TimePoint now = runtime::now();
-  const base::TimePoint wakeup = std::min(nextTimer_, acceptAgainAt_.value_or(base::kNever));
-  const base::Duration wait = std::clamp(wakeup - now, base::Duration::zero(), kLongestPoll);
+  const base::TimePoint wakeup = std::min(nextTimer_, resumeAcceptingAt_.value_or(base::kNever));
+  const base::Duration wait = std::clamp(wakeup - now, base::Duration::zero(), kMaxPollDuration);
   // The poll set's resolution is a millisecond. Rounds up to avoid a busy loop before a deadline.
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(wait).count();
   const PollSet::SocketModeMap ready = pollSet_.poll(
@@ -199,7 +199,7 @@
     return;
   }
   Connection& connection = *found->second;
-  const bool first = !connection.wantsWrite();
+  const bool first = !connection.needsWrite();
   const Result<void> queued = connection.queue(command.frame, options_.maxQueuedBytes);
   if (queued.has_error()) {
     end(command.connection, queued.error());
@@ -228,7 +228,7 @@
 void TransportImpl::pauseAccepting(const std::string& detail) {
   runtime::logError("accept-failed", {ErrorCode::connectFailed, "listen", detail});
   pollSet_.remove(*listener_);
-  acceptAgainAt_ = runtime::now() + kAcceptPause;
+  resumeAcceptingAt_ = runtime::now() + kAcceptPause;
 }
 
 void TransportImpl::add(const Poco::Net::StreamSocket& socket, const base::Endpoint& remote,
@@ -313,7 +313,7 @@
   }
   BOOST_OUTCOME_TRY(count, connection.flush());
   bytesSent_ += count;
-  const int mode = PollSet::POLL_READ | (connection.wantsWrite() ? PollSet::POLL_WRITE : 0);
+  const int mode = PollSet::POLL_READ | (connection.needsWrite() ? PollSet::POLL_WRITE : 0);
   if (mode == connection.pollMode) {
     return base::success();
   }
@@ -328,8 +328,8 @@
 
 void TransportImpl::handleTimers() {
   const base::TimePoint now = runtime::now();
-  if (acceptAgainAt_ && now >= *acceptAgainAt_) {
-    acceptAgainAt_.reset();
+  if (resumeAcceptingAt_ && now >= *resumeAcceptingAt_) {
+    resumeAcceptingAt_.reset();
     pollSet_.add(*listener_, PollSet::POLL_READ);
   }
   if (now < nextTimer_) {
@@ -347,7 +347,7 @@
     }
   }
   for (const protocol::ConnectionId id : expired) {
-    end(id, timeoutOf(*connections_.at(id)));
+    end(id, timeoutErrorOf(*connections_.at(id)));
   }
 }
 
@@ -358,7 +358,7 @@
   return connection.lastReceivedAt() + std::chrono::milliseconds(options_.idleCloseMillis);
 }
 
-Error TransportImpl::timeoutOf(const Connection& connection) const {
+Error TransportImpl::timeoutErrorOf(const Connection& connection) const {
   switch (connection.state()) {
     case ConnectionState::connecting:
       return {ErrorCode::timedOut, "connection", "no answer to connect"};
--- a/src/transport/transport_impl.h
+++ b/src/transport/transport_impl.h
@@ -77,7 +77,7 @@
   void handleTimers();
   /// @return the time at which the connection times out unless data is received from its peer.
   base::TimePoint deadlineOf(const Connection& connection) const;
-  base::Error timeoutOf(const Connection& connection) const;
+  base::Error timeoutErrorOf(const Connection& connection) const;
   void end(protocol::ConnectionId connection, const base::Error& error);
 
   const TransportOptions options_;
@@ -92,7 +92,7 @@
   // Used by the poll thread only.
   std::optional<Poco::Net::ServerSocket> listener_;
   std::uint16_t port_ = 0;
-  std::optional<base::TimePoint> acceptAgainAt_;
+  std::optional<base::TimePoint> resumeAcceptingAt_;
   Poco::Net::PollSet pollSet_;
   ConnectionMap connections_;
   std::unordered_map<const Poco::Net::SocketImpl*, protocol::ConnectionId> idsBySocket_;
--- a/test/transport/harness.h
+++ b/test/transport/harness.h
@@ -23,7 +23,7 @@
 namespace walnut::transport {
 
 /// Time limit for a single wait, which is only reached if a test fails.
-inline constexpr base::Duration kHangGuard = std::chrono::seconds(30);
+inline constexpr base::Duration kWaitLimit = std::chrono::seconds(30);
 
 /// Transport together with a queue of its events.
 class TestTransport {
@@ -40,7 +40,7 @@
 
   Event expectAny() {
     if (pending_.empty()) {
-      for (Event& event : events_.waitUntil(runtime::now() + kHangGuard)) {
+      for (Event& event : events_.waitUntil(runtime::now() + kWaitLimit)) {
         pending_.push_back(std::move(event));
       }
     }
@@ -59,7 +59,7 @@
   }
 
   /// @return true if no event is queued at the moment.
-  bool quiet() const { return pending_.empty() && events_.size() == 0; }
+  bool hasNoEvents() const { return pending_.empty() && events_.size() == 0; }
 
  private:
   runtime::Inbox<Event> events_;
@@ -72,7 +72,7 @@
  public:
   explicit RawPeer(const base::Endpoint& remote)
       : socket_(Poco::Net::SocketAddress(remote.address, remote.port)) {
-    socket_.setReceiveTimeout(Poco::Timespan(kHangGuard.count()));
+    socket_.setReceiveTimeout(Poco::Timespan(kWaitLimit.count()));
   }
 
   void write(const std::string& bytes) {
--- a/test/transport/hostile_peer_test.cpp
+++ b/test/transport/hostile_peer_test.cpp
@@ -62,7 +62,7 @@
     peer.write(greeting);
     peer.finishWriting();
     peer.readToEnd();
-    CHECK_TRUE(server.quiet());
+    CHECK_TRUE(server.hasNoEvents());
   }
   checkStillServes(server);
 }
@@ -121,7 +121,7 @@
     peer.write(bytes);
     peer.finishWriting();
     peer.readToEnd();
-    CHECK_TRUE(server.quiet());
+    CHECK_TRUE(server.hasNoEvents());
   }
   checkStillServes(server);
 }
@@ -137,16 +137,16 @@
   LONGS_EQUAL(5, std::get<protocol::ProbeRequest>(received.message).sequence);
 }
 
-TEST(HostilePeerTest, aPeerThatSaysNothingIsClosed) {
+TEST(HostilePeerTest, aPeerWithoutHelloIsClosed) {
   TransportOptions options;
   options.connectTimeoutMillis = 20;
   TestTransport server(options);
   RawPeer peer(server.endpoint());
   peer.readToEnd();
-  CHECK_TRUE(server.quiet());
+  CHECK_TRUE(server.hasNoEvents());
 }
 
-TEST(HostilePeerTest, aSilentConnectionIsClosed) {
+TEST(HostilePeerTest, anIdleConnectionIsClosed) {
   TransportOptions options;
   options.idleCloseMillis = 20;
   TestTransport server(options);
--- a/test/transport/transport_test.cpp
+++ b/test/transport/transport_test.cpp
@@ -185,11 +185,11 @@
     TestTransport client(testCase.options);
     client->open(server.endpoint());
     CHECK_TRUE(client.expect<OpenFailed>().error.code == testCase.code);
-    CHECK_TRUE(server.quiet());
+    CHECK_TRUE(server.hasNoEvents());
   }
 }
 
-TEST(TransportTest, listenerThatNeverSaysHelloTimesOut) {
+TEST(TransportTest, listenerWithoutHelloTimesOut) {
   Poco::Net::ServerSocket silent(Poco::Net::SocketAddress("127.0.0.1", 0));
   TransportOptions options = clientOptions();
   options.connectTimeoutMillis = 20;
