--- a/src/registry/leader_duties.cpp
+++ b/src/registry/leader_duties.cpp
@@ -246,7 +246,7 @@
   for (const WorkerId& id : gone) {
     const auto found = workers_.find(id);
     if (found != workers_.end()) {
-      recordWorkerEnd(id, found->second, now);
+      handleWorkerEnd(id, found->second, now);
       workers_.erase(found);
     }
     publisher_.removeWorker(id);
--- a/src/registry/leader_duties.h
+++ b/src/registry/leader_duties.h
@@ -172,7 +172,7 @@
   StoreScheduler& storeOf(const std::string& service);
   PreviousLoads previousLoads() const;
   void abandonStoreLoad(const WorkerRecord& record);
-  void recordWorkerEnd(const WorkerId& id, const WorkerStatus& status, base::TimePoint now);
+  void handleWorkerEnd(const WorkerId& id, const WorkerStatus& status, base::TimePoint now);
   void logEndedOrder(const WorkerId& id, WorkerStatus& status, base::TimePoint now);
   WorkerStatus& statusOf(const WorkerId& id, base::TimePoint now);
 
--- a/src/registry/leader_orders.cpp
+++ b/src/registry/leader_orders.cpp
@@ -201,7 +201,7 @@
 
 /// Records that a worker ended during a load, which may have been the cause. The load no longer
 /// counts as in progress: otherwise it would seem later and later, and the store overloaded.
-void LeaderDuties::recordWorkerEnd(const WorkerId& id, const WorkerStatus& status,
+void LeaderDuties::handleWorkerEnd(const WorkerId& id, const WorkerStatus& status,
                                    base::TimePoint now) {
   if (!status.unfinishedLoad) {
     return;
