--- a/src/scale/router_memory.cpp
+++ b/src/scale/router_memory.cpp
@@ -59,7 +59,7 @@
   const std::uint64_t before = heapBytesInUse();
   routing::PrefixIndex index;
   for (std::size_t block = 0; block < blocks; ++block) {
-    index.sent(engineName(block % kEngines), {block});
+    index.recordPrompt(engineName(block % kEngines), {block});
   }
   return static_cast<double>(heapBytesInUse()) - static_cast<double>(before);
 }
