--- a/src/catalog/validation.cpp
+++ b/src/catalog/validation.cpp
@@ -59,9 +59,10 @@
   return {code, "tenants[" + tenant.name + "]." + field, detail};
 }
 
-bool isAmount(double value) { return std::isfinite(value) && value >= 0; }
+bool isNonNegative(double value) { return std::isfinite(value) && value >= 0; }
 
-/// Workers are told the name in a header field: it must not end that, nor begin another.
+/// Tenant names are sent to workers in a header field: a control character could end that field and
+/// inject another one.
 bool hasControlCharacter(const std::string& name) {
   return std::any_of(name.begin(), name.end(),
                      [](char sign) { return std::iscntrl(static_cast<unsigned char>(sign)) != 0; });
@@ -74,8 +75,8 @@
   if (hasControlCharacter(tenant.name)) {
     return Error{ErrorCode::outOfRange, "tenants[].name", "a name has a control character"};
   }
-  if (!isAmount(tenant.unitsPerSecond) || !isAmount(tenant.burst) ||
-      !isAmount(tenant.defaultTokens)) {
+  if (!isNonNegative(tenant.unitsPerSecond) || !isNonNegative(tenant.burst) ||
+      !isNonNegative(tenant.defaultTokens)) {
     return invalidTenant(ErrorCode::outOfRange, tenant, "quota", "a figure is below 0");
   }
   for (const std::string& key : tenant.keys) {
@@ -86,7 +87,7 @@
   return base::success();
 }
 
-/// The tenant of a request follows from its key alone.
+/// A request is assigned to a tenant by its key alone, so no two tenants may share one.
 Result<void> checkTenants(const Document& document) {
   std::set<std::string> names;
   std::map<std::string_view, std::string_view> owners;
@@ -143,10 +144,10 @@
                    "the service is declared twice"};
     }
   }
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> routeKeys;
   for (const Route& route : document.routes) {
     BOOST_OUTCOME_TRYV(checkRoute(route, declared));
-    if (!places.emplace(route.host, route.pathPrefix).second) {
+    if (!routeKeys.emplace(route.host, route.pathPrefix).second) {
       return invalid(ErrorCode::alreadyExists, route, "pathPrefix",
                      "another route has this host and prefix");
     }
--- a/src/consensus/progress.cpp
+++ b/src/consensus/progress.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-bool Progress::commitUnknown(LogIndex commitIndex) const {
+bool Progress::needsCommitUpdate(LogIndex commitIndex) const {
   return state_ == ProgressState::replicate && std::min(commitIndex, nextIndex_ - 1) > commitSent_;
 }
 
@@ -40,8 +40,8 @@
   while (!inFlight_.empty() && inFlight_.front() <= matchIndex_) {
     inFlight_.pop_front();
   }
-  const bool reachedLog = matchIndex_ >= baseIndex;
-  if (state_ == ProgressState::probe || (state_ == ProgressState::snapshot && reachedLog)) {
+  const bool hasReachedLog = matchIndex_ >= baseIndex;
+  if (state_ == ProgressState::probe || (state_ == ProgressState::snapshot && hasReachedLog)) {
     enterReplicate();
   }
 }
@@ -51,11 +51,11 @@
     return;
   }
   if (round > acceptedRound_ && hintIndex <= matchIndex_) {
-    // Not late: the follower has lost entries that it had synced. They are sent again and no longer
-    // count for commitment.
+    // The refusal is not a late one: the follower has lost entries that it had synced. They are
+    // sent again and no longer count towards commitment.
     matchIndex_ = std::max<LogIndex>(hintIndex, 1) - 1;
   }
-  // A refusal that arrives late may hint too low, which only costs a resend.
+  // The hint of a late refusal may be too low, which only causes entries to be sent again.
   nextIndex_ = std::max(matchIndex_ + 1, std::min(hintIndex, nextIndex_));
   state_ = ProgressState::probe;
   probeSent_ = false;
--- a/src/control/cell_placement_rules.cpp
+++ b/src/control/cell_placement_rules.cpp
@@ -12,7 +12,7 @@
 using base::ErrorCode;
 using resource::Kind;
 
-/// What a placement is about, once it resolves.
+/// Model of a resolved placement and the memory that it needs.
 struct Target {
   const resource::ModelSpec* model = nullptr;
   std::uint64_t bytes = 0;
@@ -29,7 +29,7 @@
   if (version == nullptr || version->model != servable.model) {
     return Error{ErrorCode::referenceMissing, "servable.version", "no such version of the model"};
   }
-  if (model->activeVersion != servable.version && !placement.formerVersion) {
+  if (model->activeVersion != servable.version && !placement.previousVersion) {
     return Error{ErrorCode::versionConflict, "servable.version", "not the active version"};
   }
   if (servable.adapter.empty()) {
@@ -72,9 +72,9 @@
   return base::success();
 }
 
-/// Rules about what the engine holds already.
-base::Result<void> checkHeld(const CellContents& contents, const CellLedger& ledger,
-                             const PlaceReplica& placement) {
+/// Checks the rules that concern replicas already on the engine.
+base::Result<void> checkPresentReplicas(const CellContents& contents, const CellLedger& ledger,
+                                        const PlaceReplica& placement) {
   resource::Servable baseServable = placement.servable;
   baseServable.adapter.clear();
   bool baseReady = placement.servable.adapter.empty();
@@ -127,7 +127,7 @@
   if (placement.bytes != target.bytes) {
     return Error{ErrorCode::outOfRange, "bytes", "not the accelerator bytes of the spec"};
   }
-  BOOST_OUTCOME_TRYV(checkHeld(contents, ledger, placement));
+  BOOST_OUTCOME_TRYV(checkPresentReplicas(contents, ledger, placement));
   return checkLimits(contents, ledger, *target.model, placement);
 }
 
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Routers report all their demand to a new leader within a second; until then nothing counts as
-/// idle.
-constexpr base::Duration kSettleTime = std::chrono::seconds(2);
+/// Routers report their complete demand to a new leader within a second; until this time has passed
+/// nothing counts as idle.
+constexpr base::Duration kRouterReportTime = std::chrono::seconds(2);
 
-/// @return the replica that the command is about, if it is a transition of one.
+/// @return the replica whose state the command changes, if any.
 std::optional<base::ReplicaId> replicaOf(const CommandBody& body) {
   if (const auto* ready = std::get_if<MarkReplicaReady>(&body)) {
     return ready->replica;
@@ -43,7 +43,7 @@
 Leadership::Leadership(const LeaderContext& context, consensus::Term term, base::TimePoint now)
     : context_(context),
       term_(term),
-      since_(now),
+      startedAt_(now),
       monitor_(context.options, term, context.nextCall, context.actions),
       reconciler_(context.options, context.state, context.ledger, monitor_),
       platform_(context.options, context.actions),
@@ -61,7 +61,7 @@
   }
   const auto index = context_.log.propose(now, std::move(body));
   if (index.has_error()) {
-    return;  // Leadership is ending: the next leader decides.
+    return;  // Leadership is ending; the next leader will decide.
   }
   if (proposal.engine) {
     changingEngines_.insert(*proposal.engine);
@@ -69,7 +69,7 @@
   if (proposal.replica) {
     changingReplicas_.insert(*proposal.replica);
   }
-  placementsUnderWay_ += proposal.placement ? 1 : 0;
+  placementsInFlight_ += proposal.placement ? 1 : 0;
   proposals_[index.value()] = std::move(proposal);
 }
 
@@ -90,13 +90,13 @@
     refusedRecords_[proposal.record->id] = *proposal.record;
   }
   if (proposal.placement) {
-    --placementsUnderWay_;
-    placementStale_ = true;
+    --placementsInFlight_;
+    placementIsStale_ = true;
   }
 }
 
 void Leadership::stateChanged(base::TimePoint now, const StateChange& change) {
-  placementStale_ = true;
+  placementIsStale_ = true;
   std::set<base::EngineId> engines = change.engines;
   for (const std::string& model : change.models) {
     planning_.mark(model);
@@ -120,7 +120,7 @@
       continue;
     }
     reconciler_.ledgerChanged(now, engine);
-    stale_.insert(engine);
+    enginesToReview_.insert(engine);
   }
 }
 
@@ -142,6 +142,7 @@
   }
 }
 
+/// Marks the models that the resource concerns for planning.
 /// @param spec null if the resource was deleted.
 void Leadership::markResource(const resource::Key& key, const resource::Spec* spec) {
   if (spec == nullptr) {
@@ -158,7 +159,7 @@
                  spec == nullptr ? nullptr : std::get_if<resource::AdapterSpec>(spec)) {
     planning_.mark(adapter->model);
   } else {
-    planning_.restartPass();  // Budgets and pools concern many, and change rarely.
+    planning_.restartPass();  // Budgets and pools concern many models and change rarely.
   }
 }
 
@@ -175,7 +176,7 @@
       registerEngine(now, id);
     }
   }
-  removeGone(now);
+  removeGoneMachines(now);
 }
 
 void Leadership::trackEngines(base::TimePoint now) {
@@ -187,7 +188,7 @@
       continue;
     }
     if (platform_.endpointTaken(id, engine.endpoint)) {
-      monitor_.forget(id);  // Another engine would answer for this one.
+      monitor_.forget(id);  // Another engine would answer in place of this one.
     } else {
       monitor_.track(now, id, engine.endpoint);
     }
@@ -204,19 +205,21 @@
   sources.machine = platform_.find(engine);
   sources.report = monitor_.report(engine);
   sources.hasList = platform_.hasList();
-  auto wanted = wantedRecord(sources);
+  auto expected = expectedRecord(sources);
   const auto refused = refusedRecords_.find(engine);
-  const bool asRefused = wanted && refused != refusedRecords_.end() && refused->second == *wanted;
-  if (wanted && !asRefused) {
-    propose(now, RegisterEngine{*std::move(wanted)}, false);
+  const bool wasRefused =
+      expected && refused != refusedRecords_.end() && refused->second == *expected;
+  if (expected && !wasRefused) {
+    propose(now, RegisterEngine{*std::move(expected)}, false);
   }
 }
 
-/// A machine that still answers is not gone, whatever the list says.
-void Leadership::removeGone(base::TimePoint now) {
-  for (const base::EngineId& engine : platform_.gone()) {
+/// Removes engines whose machine is gone. A machine that still answers is kept, whatever the
+/// platform list says.
+void Leadership::removeGoneMachines(base::TimePoint now) {
+  for (const base::EngineId& engine : platform_.goneMachines()) {
     const auto reportedAt = monitor_.reportedAt(engine);
-    const bool answered = reportedAt && now < *reportedAt + context_.options.machineGoneAfter;
+    const bool answered = reportedAt && now < *reportedAt + context_.options.machineRemovalTimeout;
     const bool known = context_.state.engines().contains(engine);
     if (known && !answered && !changingEngines_.contains(engine)) {
       propose(now, RemoveEngine{engine}, false);
@@ -226,26 +229,26 @@
 
 void Leadership::engineCallFinished(base::TimePoint now, const EngineCallFinished& call) {
   const auto known = monitor_.engineOf(call);
-  const bool wasResponsive = known && monitor_.responsive(now, *known);
+  const bool wasResponsive = known && monitor_.isResponsive(now, *known);
   const auto finished = monitor_.callFinished(now, call);
   if (!finished) {
     return;
   }
-  stale_.insert(finished->engine);
+  enginesToReview_.insert(finished->engine);
   reconciler_.orderFinished(*finished);
   if (finished->result.has_error()) {
     return;
   }
   if (const auto* report = std::get_if<engine::Report>(&finished->result.value())) {
-    placementStale_ = placementStale_ || !wasResponsive;
-    takeReport(now, *report);
+    placementIsStale_ = placementIsStale_ || !wasResponsive;
+    recordReportedUse(now, *report);
   }
 }
 
-void Leadership::takeReport(base::TimePoint now, const engine::Report& report) {
+void Leadership::recordReportedUse(base::TimePoint now, const engine::Report& report) {
   for (const engine::HeldServable& held : report.held) {
     if (held.activeRequests > 0) {
-      usage_.used(now, targetOf(held.servable));
+      usage_.recordUse(now, targetOf(held.servable));
     }
   }
 }
@@ -274,10 +277,9 @@
   }
 }
 
-/// An engine reports that it is well whatever becomes of its requests. What routers see of it
-/// decides whether its replicas count.
+/// Ejects engines that report healthy but fail requests, based on the outcomes that routers report.
 void Leadership::detectOutliers(base::TimePoint now) {
-  if (!outliers_.reviewDue(now)) {
+  if (!outliers_.isReviewDue(now)) {
     return;
   }
   const auto& known = context_.state.engines();
@@ -298,8 +300,8 @@
   platform_.tick(now);
   detectOutliers(now);
   monitor_.tick(now, context_.raft.leaseValid(now));
-  stale_.merge(reconciler_.takeDue(now));
-  for (const base::EngineId& engine : std::exchange(stale_, {})) {
+  enginesToReview_.merge(reconciler_.takeDue(now));
+  for (const base::EngineId& engine : std::exchange(enginesToReview_, {})) {
     reviewEngine(now, engine);
   }
   promotion_.tick(now, context_.raft);
@@ -309,13 +311,14 @@
 }
 
 void Leadership::decidePlacement(base::TimePoint now) {
-  placementStale_ = false;
-  placedAt_ = now;
+  placementIsStale_ = false;
+  lastPlacementAt_ = now;
   context_.demand.expire(now);
   std::set<std::string> models = planning_.takeMarked();
   models.merge(context_.demand.takeChangedModels());
-  if (now >= nextStepAt_) {
-    nextStepAt_ = now + context_.options.planningPass / PlanningQueue::kStepsOfPass;
+  if (now >= nextPlanningStepAt_) {
+    nextPlanningStepAt_ =
+        now + context_.options.planningPassDuration / PlanningQueue::kStepsPerPass;
     for (std::string& model : planning_.nextStep(context_.state, context_.ledger)) {
       models.insert(std::move(model));
     }
@@ -328,24 +331,26 @@
                              usage_,
                              reconciler_.unledgered(),
                              changingReplicas_,
-                             now >= since_ + kSettleTime};
+                             now >= startedAt_ + kRouterReportTime};
   for (CommandBody& body : policy_.decide(input, std::move(models), usage_)) {
     propose(now, std::move(body), true);
   }
 }
 
-/// While decisions are under way, the state that the next ones need isn't there yet.
+/// Returns the time of the next placement run. While decisions are in progress, the state that the
+/// next ones depend on is not known yet.
 base::TimePoint Leadership::placementDueAt() const {
-  if (placementsUnderWay_ > 0) {
+  if (placementsInFlight_ > 0) {
     return base::kNever;
   }
-  const base::TimePoint earliest = placedAt_ + context_.options.placementInterval;
-  const bool stale = placementStale_ || planning_.anyMarked() || context_.demand.changed();
-  return stale ? earliest : std::max(earliest, std::min(nextStepAt_, policy_.nextWakeup()));
+  const base::TimePoint earliest = lastPlacementAt_ + context_.options.placementInterval;
+  const bool stale =
+      placementIsStale_ || planning_.anyMarked() || context_.demand.hasChangedModels();
+  return stale ? earliest : std::max(earliest, std::min(nextPlanningStepAt_, policy_.nextWakeup()));
 }
 
 base::TimePoint Leadership::nextWakeup() const {
-  if (!stale_.empty()) {
+  if (!enginesToReview_.empty()) {
     return base::TimePoint::min();
   }
   return std::min({platform_.nextWakeup(), monitor_.nextWakeup(), reconciler_.nextWakeup(),
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -5,8 +5,8 @@
 namespace walnut::control {
 
 namespace {
-/// Bounds the wait that a rate near zero gives.
-constexpr double kLeastRate = 1e-3;
+/// Lower bound for the rate, so that a rate near zero gives a bounded wait.
+constexpr double kMinLoadsPerSecond = 1e-3;
 constexpr double kMicrosPerSecond = 1e6;
 }  // namespace
 
@@ -17,7 +17,7 @@
 
 void LoadRate::begin(base::TimePoint now, const std::string& pool,
                      const resource::EnginePoolSpec& spec) {
-  const double rate = std::max(spec.loadsPerSecond, kLeastRate);
+  const double rate = std::max(spec.loadsPerSecond, kMinLoadsPerSecond);
   nextAt_[pool] = now + base::Duration(static_cast<std::int64_t>(kMicrosPerSecond / rate));
 }
 
--- a/src/gateway/exchange_wait.cpp
+++ b/src/gateway/exchange_wait.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of an exchange that waits for a worker, and decides for how long that makes sense.
+/// The part of an exchange that waits for a worker and limits how long it waits.
 
 #include <algorithm>
 #include <utility>
@@ -17,24 +17,24 @@
 
 constexpr base::Duration kBackoffMin = std::chrono::milliseconds(25);
 constexpr std::uint32_t kMaxBackoffDoublings = 4;
-/// When a refused caller is asked to come back.
+/// Retry-After value of a refusal because no worker is available.
 constexpr base::Duration kRetryAfterFull = std::chrono::milliseconds(300);
-/// A request for a model that only failing workers hold waits this long for another replica, then
-/// goes to one of them: a load from a disk takes 1 to 2 s, and callers give up a stream that does
-/// not begin after 2 s at the earliest.
-constexpr base::Duration kReplicaPatience = std::chrono::milliseconds(1900);
-/// @name After which the callers of the users' platform give up a stream that has not begun: the
-/// longest of these
+/// Time for which a request for a model that only failing workers hold waits for another replica
+/// before it is sent to one of them: a load from disk takes 1 to 2 s, and callers abandon a stream
+/// that has not begun after 2 s at the earliest.
+constexpr base::Duration kReplicaWaitTimeout = std::chrono::milliseconds(1900);
+/// @name Time after which callers on the users' platform abandon a stream that has not begun: the
+/// longest of the three
 /// @{
-constexpr base::Duration kLeastPatience = std::chrono::seconds(2);
-constexpr int kPatienceInTargets = 4;
-constexpr int kPatienceInGaps = 8;
+constexpr base::Duration kMinCallerTimeout = std::chrono::seconds(2);
+constexpr int kCallerTimeoutInTargets = 4;
+constexpr int kCallerTimeoutInGaps = 8;
 /// @}
-/// Without workers, or without a leader to ask for a share of a limit, a request waits this share
-/// of its target latency.
-constexpr int kPatienceDivisor = 4;
-/// Until the leader is asked anew for a share of a limit.
-constexpr base::Duration kSharePatience = std::chrono::milliseconds(100);
+/// Without workers, or without a leader that could grant a share of a limit, a request waits for
+/// this fraction (1/n) of its target latency.
+constexpr int kShortWaitDivisor = 4;
+/// Time until a share of a limit is requested again from the leader.
+constexpr base::Duration kShareRequestTimeout = std::chrono::milliseconds(100);
 
 std::string_view reasonName(NoWorkerReason reason) {
   switch (reason) {
@@ -56,14 +56,14 @@
 
 }  // namespace
 
-/// Another replica may come of a model, if somebody hears that it is waited for; no other worker of
-/// a plain service does.
-bool Exchange::takesLastResort() const {
-  return facts_.model.empty() || !context_.leaderKnown() || now() >= arrivedAt_ + kReplicaPatience;
+/// Another replica of a model may be loaded if the leader learns of the demand. A plain service
+/// gets no further worker this way, so its requests use a failing worker at once.
+bool Exchange::acceptsLastResort() const {
+  return facts_.model.empty() || !context_.hasLeader() || now() >= arrivedAt_ + kReplicaWaitTimeout;
 }
 
 void Exchange::beginWait(NoWorkerReason reason) {
-  if (std::exchange(waiting_, true)) {
+  if (std::exchange(isWaiting_, true)) {
     return;
   }
   waitBeganAt_ = now();
@@ -77,62 +77,64 @@
                                                   {"document", context_.documentVersion()}});
 }
 
-/// The leader answers within some ms, or is lost.
-void Exchange::askForShare(const Worker& worker) {
+/// Waits for a share of the worker's limit. The leader answers within a few ms, or is lost.
+void Exchange::requestShare(const Worker& worker) {
   const registry::WorkerId& id = worker.view.record.id;
   beginWait(NoWorkerReason::limited);
-  if (shareOf_ != id) {
+  if (shareWorker_ != id) {
     endShareWait();
-    shareOf_ = id;
+    shareWorker_ = id;
     context_.shareWaitBegan(id);
   }
-  retryTimer_->enableAt(now() + kSharePatience);
+  retryTimer_->enableAt(now() + kShareRequestTimeout);
 }
 
 void Exchange::sharesChanged() {
-  if (state_ == State::choosing && waitsForShare()) {
+  if (state_ == State::choosing && isWaitingForShare()) {
     endShareWait();
     choose();
   }
 }
 
 void Exchange::endShareWait() {
-  if (shareOf_) {
-    context_.shareWaitEnded(*std::exchange(shareOf_, std::nullopt));
+  if (shareWorker_) {
+    context_.shareWaitEnded(*std::exchange(shareWorker_, std::nullopt));
   }
 }
 
-/// A model is brought up at another worker once it is waited for, and a leader may be found within
-/// moments. A stream that has begun goes on if its caller waits.
+/// @return true if waiting is useful: the model is loaded on demand at a worker without a limit, or
+/// a leader may be found within moments. A stream that has begun continues for as long as its
+/// caller waits.
 bool Exchange::waitsForLimit(const Selection& selection) const {
   if (headSent_) {
     return true;
   }
-  if (!context_.leaderKnown()) {
-    return now() < shortPatienceEnds();
+  if (!context_.hasLeader()) {
+    return now() < shortWaitDeadline();
   }
-  return !facts_.model.empty() && selection.othersUnlimited &&
-         now() < arrivedAt_ + kReplicaPatience;
+  return !facts_.model.empty() && selection.hasUnlimitedWorkers &&
+         now() < arrivedAt_ + kReplicaWaitTimeout;
 }
 
 void Exchange::waitForLimit(const Selection& selection) {
   if (!waitsForLimit(selection)) {
     context_.metrics().count("walnut_gateway_limited_total", "refused");
-    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "limit of its workers", selection.shareIn);
+    refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "limit of its workers",
+           selection.shareAvailableIn);
     return;
   }
   beginWait(NoWorkerReason::limited);
   endShareWait();
   if (!refuseIfTooLate(NoWorkerReason::limited)) {
-    const base::TimePoint next = now() + std::min(selection.shareIn, kSharePatience);
-    const bool forLeader = !headSent_ && !context_.leaderKnown();
-    retryTimer_->enableAt(forLeader ? std::min(next, shortPatienceEnds()) : next);
+    const base::TimePoint next = now() + std::min(selection.shareAvailableIn, kShareRequestTimeout);
+    const bool forLeader = !headSent_ && !context_.hasLeader();
+    retryTimer_->enableAt(forLeader ? std::min(next, shortWaitDeadline()) : next);
   }
 }
 
-/// For what comes within moments, if at all.
-base::TimePoint Exchange::shortPatienceEnds() const {
-  return arrivedAt_ + route_.targetLatency / kPatienceDivisor;
+/// End of the short wait for conditions that are met within moments or not at all.
+base::TimePoint Exchange::shortWaitDeadline() const {
+  return arrivedAt_ + route_.targetLatency / kShortWaitDivisor;
 }
 
 void Exchange::wait(NoWorkerReason reason) {
@@ -141,7 +143,7 @@
     return;
   }
   const bool plain = facts_.model.empty();
-  if (plain && now() >= shortPatienceEnds()) {
+  if (plain && now() >= shortWaitDeadline()) {
     refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "no worker can be had", kRetryAfterFull);
     return;
   }
@@ -150,25 +152,26 @@
   retryTimer_->enableAt(now() + kBackoffMin * (1U << doublings));
 }
 
-/// Callers give up a stream that does not begin.
-base::TimePoint Exchange::callerLeavesAt() const {
+/// @return when the caller is expected to disconnect: callers abandon a stream that does not begin.
+base::TimePoint Exchange::callerDisconnectsAt() const {
   if (!isStreaming()) {
     return deadline_;
   }
-  const base::Duration patience =
-      std::max({kLeastPatience, kPatienceInTargets * route_.targetLatency,
-                kPatienceInGaps * route_.targetGap});
-  return std::min(deadline_, arrivedAt_ + patience);
+  const base::Duration timeout =
+      std::max({kMinCallerTimeout, kCallerTimeoutInTargets * route_.targetLatency,
+                kCallerTimeoutInGaps * route_.targetGap});
+  return std::min(deadline_, arrivedAt_ + timeout);
 }
 
-/// Its caller would wait in vain: it is told at once when the model is expected.
+/// Refuses a request whose caller would disconnect before the model is loaded. Retry-After says
+/// when the model is expected.
 bool Exchange::refuseIfTooLate(NoWorkerReason reason) {
   const bool waitsForModel = reason == NoWorkerReason::notHeld || reason == NoWorkerReason::limited;
   if (!waitsForModel || !facts_.adapter.empty() || headSent_) {
     return false;
   }
   const auto expected = context_.expectedAt(service_, facts_.model);
-  if (!expected || *expected <= callerLeavesAt()) {
+  if (!expected || *expected <= callerDisconnectsAt()) {
     return false;
   }
   refuse(mayHaveRun_ ? kBadGateway : kUnavailable, "the model comes too late", *expected - now());
@@ -177,7 +180,7 @@
 
 void Exchange::endWait() {
   endShareWait();
-  if (std::exchange(waiting_, false)) {
+  if (std::exchange(isWaiting_, false)) {
     waited_ += now() - waitBeganAt_;
     context_.waitEnded(service_, facts_);
   }
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a gateway that decides whose request it is, and whether the tenant's quota has room
-/// for it.
+/// The part of a gateway that authenticates requests and checks them against the quota of their
+/// tenant.
 
 #include <algorithm>
 #include <iterator>
@@ -18,22 +18,23 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-/// Questions within the life of a lease: it outlasts nine that stay unanswered.
-constexpr int kQuestionsPerLease = 10;
-/// A key is refused as nobody's only by a document that was the newest this short a while ago: a
-/// key that was added since would be refused too.
-constexpr base::Duration kRefusalAge = std::chrono::milliseconds(1500);
-/// A leader is away for about a second when it changes.
+/// Renewals requested per duration of a lease: the lease survives nine unanswered ones.
+constexpr int kRenewalsPerLease = 10;
+/// Maximum age of the last confirmation at which an unknown key is refused for good: a key that was
+/// added since the confirmation would be refused too.
+constexpr base::Duration kMaxRefusalAge = std::chrono::milliseconds(1500);
+/// Retry-After value while keys or quotas are not confirmed: a change of leader takes about a
+/// second.
 constexpr base::Duration kRetryAfterUnconfirmed = std::chrono::milliseconds(500);
 
 /// @name Requests that wait for the leader's answer about their tenant's quota
 /// @{
-/// The way to the leader and back takes some ms; what takes longer is a change of leader, which a
-/// request with a long target outwaits.
-constexpr base::Duration kLongestWait = std::chrono::milliseconds(1500);
-constexpr std::size_t kMostUnpaid = 1024;
-constexpr std::size_t kMostCountedTenants = 100;
-constexpr base::Duration kUnpaidReview = std::chrono::milliseconds(50);
+/// Maximum wait for the answer. A round trip to the leader takes a few ms; only a change of leader
+/// takes longer, and a request with a long target latency can wait for its end.
+constexpr base::Duration kMaxQuotaWait = std::chrono::milliseconds(1500);
+constexpr std::size_t kMaxPendingRequests = 1024;
+constexpr std::size_t kMaxCountedTenants = 100;
+constexpr base::Duration kPendingReviewInterval = std::chrono::milliseconds(50);
 /// @}
 
 double costOf(const catalog::Tenant& tenant, const RequestFacts& facts) {
@@ -56,11 +57,12 @@
 
 // Keys
 
-/// The clock is read after the request has come: it may have been sent while this process stood
-/// still, long after the present turn of the loop began.
+/// Finds the tenant of a request by its key, or refuses the request. The clock is read after the
+/// request has come: it may have been sent while this process was suspended, long after the current
+/// event loop iteration began.
 const catalog::Tenant* Gateway::authenticate(RequestFacts& facts, net::ResponseSink& sink) {
   const base::TimePoint now = scheduler_.readClock();
-  noteLease(now);
+  logLeaseChange(now);
   if (!lease_.valid(now)) {
     refuse(sink, facts.requestId, kUnavailable, "keys are not confirmed", kRetryAfterUnconfirmed);
     return nullptr;
@@ -72,7 +74,7 @@
     facts.quotaCost = costOf(*tenant, facts);
     return tenant;
   }
-  if (behind() || lease_.age(now).value_or(lease_.lasts()) > kRefusalAge) {
+  if (isBehind() || lease_.age(now).value_or(lease_.duration()) > kMaxRefusalAge) {
     refuse(sink, facts.requestId, kUnavailable, "keys may be newer", kRetryAfterUnconfirmed);
   } else {
     refuse(sink, facts.requestId, kUnauthorized, facts.key.empty() ? "no key" : "unknown key");
@@ -80,106 +82,109 @@
   return nullptr;
 }
 
-/// A metric of its own for each of the first tenants; one for all others.
+/// Counts a request of a tenant: each of the first tenants has a metric label of its own, all
+/// others share one, which bounds the number of labels.
 void Gateway::countTenant(const std::string& tenant, int status) {
   if (tenant.empty()) {
     return;
   }
   const bool known = countedTenants_.count(tenant) != 0;
-  const bool named = known || countedTenants_.size() < kMostCountedTenants;
-  if (named) {
+  const bool hasLabel = known || countedTenants_.size() < kMaxCountedTenants;
+  if (hasLabel) {
     countedTenants_.insert(tenant);
   }
   metrics_.count(status == kTooManyRequests ? "walnut_gateway_tenant_over_quota_total"
                                             : "walnut_gateway_tenant_requests_total",
-                 named ? tenant : std::string("other"));
+                 hasLabel ? tenant : std::string("other"));
 }
 
-void Gateway::noteLease(base::TimePoint now) {
+void Gateway::logLeaseChange(base::TimePoint now) {
   const bool valid = lease_.valid(now);
-  if (std::exchange(leaseNoted_, valid) == valid) {
+  if (std::exchange(wasLeaseValid_, valid) == valid) {
     return;
   }
   log_.write(valid ? LogEvent::keysConfirmed : LogEvent::keysUnconfirmed,
              {{"document", documentVersion()},
               {"age-millis", millisOf(lease_.age(now).value_or(base::Duration::zero()))},
-              {"lease-millis", millisOf(lease_.lasts())}});
+              {"lease-millis", millisOf(lease_.duration())}});
 }
 
-std::uint64_t Gateway::keysInForce() const {
+std::uint64_t Gateway::admittingDocumentVersion() const {
   return document_ != nullptr && lease_.valid(scheduler_.readClock()) ? documentVersion() : 0;
 }
 
-/// While no document needs keys nobody is asked.
-void Gateway::askForDocument() {
+/// Asks the leader for the newest document version, which renews the lease. Does nothing while the
+/// document in force has no keys.
+void Gateway::renewLease() {
   if (document_ == nullptr || !document_->keyed) {
     return;
   }
   const base::TimePoint now = scheduler_.readClock();
-  noteLease(now);
-  leaseTimer_->enableAt(now + lease_.lasts() / kQuestionsPerLease);
+  logLeaseChange(now);
+  leaseTimer_->enableAt(now + lease_.duration() / kRenewalsPerLease);
   if (session_.following()) {
-    session_.send(lease_.ask(now));
+    session_.send(lease_.makeRequest(now));
   }
 }
 
 void Gateway::documentConfirmed(const registry::DocumentConfirmed& answer) {
-  const bool first = !prepared();
-  lease_.confirmed(answer, documentVersion());
-  noteLease(scheduler_.readClock());
-  if (first && prepared() && !early_.empty()) {
+  const bool first = !isPrepared();
+  lease_.confirmationReceived(answer, documentVersion());
+  logLeaseChange(scheduler_.readClock());
+  if (first && isPrepared() && !early_.empty()) {
     scheduler_.runSoon([this] { routeEarly(); });
   }
 }
 
 // Quotas
 
-void Gateway::waitForQuota(UnpaidRequest unpaid) {
-  const std::string& tenant = unpaid.facts.tenant;
-  if (unpaidCount_ >= kMostUnpaid) {
-    refuse(*unpaid.sink, unpaid.facts.requestId, kUnavailable, "too many wait for their quota",
+void Gateway::queueForQuota(PendingRequest pending) {
+  const std::string& tenant = pending.facts.tenant;
+  if (pendingCount_ >= kMaxPendingRequests) {
+    refuse(*pending.sink, pending.facts.requestId, kUnavailable, "too many wait for their quota",
            kRetryAfterRefusal, tenant);
     return;
   }
-  const base::Duration patience = std::min(kLongestWait, unpaid.route->targetLatency);
-  unpaid.until = unpaid.arrivedAt + patience;
-  quota_.waitBegan(tenant, unpaid.facts.quotaCost);
-  ++unpaidCount_;
-  UnpaidRequests& waiting = unpaid_[tenant];
-  waiting.push_back(std::move(unpaid));
+  const base::Duration timeout = std::min(kMaxQuotaWait, pending.route->targetLatency);
+  pending.until = pending.arrivedAt + timeout;
+  quota_.waitBegan(tenant, pending.facts.quotaCost);
+  ++pendingCount_;
+  PendingRequests& waiting = pendingRequests_[tenant];
+  waiting.push_back(std::move(pending));
   const auto entry = std::prev(waiting.end());
   entry->sink->setGoneCallback([this, entry] {
     const std::string name = entry->facts.tenant;
     quota_.waitEnded(name, entry->facts.quotaCost);
-    --unpaidCount_;
-    UnpaidRequests& list = unpaid_[name];
+    --pendingCount_;
+    PendingRequests& list = pendingRequests_[name];
     list.erase(entry);
     if (list.empty()) {
-      unpaid_.erase(name);
+      pendingRequests_.erase(name);
     }
   });
-  quotaTimer_->enableAt(scheduler_.now() + kUnpaidReview);
-  askForQuotaSoon();
+  quotaTimer_->enableAt(scheduler_.now() + kPendingReviewInterval);
+  requestQuotaSoon();
 }
 
-/// One question for all that came within a turn.
-void Gateway::askForQuotaSoon() {
+/// Schedules one quota request for all requests that came within an event loop iteration.
+void Gateway::requestQuotaSoon() {
   if (!std::exchange(quotaSoon_, true)) {
     scheduler_.runSoon([this] {
       quotaSoon_ = false;
-      askForQuota(false);
+      requestQuota(false);
     });
   }
 }
 
-void Gateway::askForQuota(bool all) {
+void Gateway::requestQuota(bool all) {
   if (!session_.following()) {
     return;
   }
-  if (auto request = quota_.ask(all, scheduler_.now())) {
-    for (auto& [tenant, waiting] : unpaid_) {
-      for (UnpaidRequest& unpaid : waiting) {
-        unpaid.question = unpaid.question == 0 ? request->sequence : unpaid.question;
+  if (auto request = quota_.makeRequest(all, scheduler_.now())) {
+    for (auto& [tenant, waiting] : pendingRequests_) {
+      for (PendingRequest& pending : waiting) {
+        pending.quotaSequence =
+            pending.quotaSequence == 0 ? request->sequence : pending.quotaSequence;
       }
     }
     session_.send(std::move(*request));
@@ -187,45 +192,46 @@
 }
 
 void Gateway::quotaGranted(const registry::QuotaGrant& grant) {
-  if (!quota_.granted(grant, scheduler_.now())) {
+  if (!quota_.grantReceived(grant, scheduler_.now())) {
     return;
   }
   for (const registry::QuotaShare& share : grant.shares) {
-    settleUnpaid(share.owner, grant.sequence, share.retryAfter);
+    settlePending(share.owner, grant.sequence, share.retryAfter);
   }
-  if (unpaidCount_ > 0) {
-    askForQuotaSoon();
+  if (pendingCount_ > 0) {
+    requestQuotaSoon();
   }
   if (!quota_.empty()) {
     quotaTimer_->enableAt(scheduler_.now() +
-                          (unpaidCount_ > 0 ? kUnpaidReview : QuotaAccount::kInterval));
+                          (pendingCount_ > 0 ? kPendingReviewInterval : QuotaAccount::kInterval));
   }
 }
 
-/// In the order in which they came; those that the answer was not about wait for the next one.
-void Gateway::settleUnpaid(const std::string& tenant, std::uint64_t question,
-                           base::Duration retryAfter) {
-  const auto found = unpaid_.find(tenant);
-  if (found == unpaid_.end()) {
+/// Admits or refuses the waiting requests of a tenant in the order of their arrival. Requests that
+/// the answer did not cover wait for the next one.
+void Gateway::settlePending(const std::string& tenant, std::uint64_t quotaSequence,
+                            base::Duration retryAfter) {
+  const auto found = pendingRequests_.find(tenant);
+  if (found == pendingRequests_.end()) {
     return;
   }
-  UnpaidRequests waiting = std::move(found->second);
-  unpaid_.erase(found);
-  UnpaidRequests rest;
+  PendingRequests waiting = std::move(found->second);
+  pendingRequests_.erase(found);
+  PendingRequests rest;
   while (!waiting.empty()) {
     const auto entry = waiting.begin();
     const double cost = entry->facts.quotaCost;
-    const bool asked = entry->question != 0 && entry->question <= question;
+    const bool asked = entry->quotaSequence != 0 && entry->quotaSequence <= quotaSequence;
     const bool paid = quota_.take(tenant, cost, scheduler_.now());
     if (!paid && (!asked || retryAfter == base::Duration::zero())) {
-      entry->question = asked ? 0 : entry->question;
+      entry->quotaSequence = asked ? 0 : entry->quotaSequence;
       rest.splice(rest.end(), waiting, entry);
       continue;
     }
     quota_.waitEnded(tenant, cost);
-    --unpaidCount_;
+    --pendingCount_;
     entry->sink->setGoneCallback(nullptr);
-    UnpaidRequest settled = std::move(*entry);
+    PendingRequest settled = std::move(*entry);
     waiting.erase(entry);
     if (paid) {
       const base::Duration waited = scheduler_.now() - settled.arrivedAt;
@@ -238,36 +244,37 @@
     }
   }
   if (!rest.empty()) {
-    unpaid_[tenant].splice(unpaid_[tenant].begin(), rest);
+    pendingRequests_[tenant].splice(pendingRequests_[tenant].begin(), rest);
   }
 }
 
-/// Refuses what has waited too long: nobody leads, or the leader does not answer. It is not known
-/// to be above its quota.
+/// Refuses requests that have waited too long, because there is no leader or the leader does not
+/// answer. The refusal is 503, not 429: the tenant is not known to exceed its quota.
 void Gateway::reviewQuota() {
   const base::TimePoint now = scheduler_.now();
-  std::vector<UnpaidRequest> late;
-  for (auto& [tenant, waiting] : unpaid_) {
+  std::vector<PendingRequest> late;
+  for (auto& [tenant, waiting] : pendingRequests_) {
     for (auto entry = waiting.begin(); entry != waiting.end();) {
       if (now < entry->until) {
         ++entry;
         continue;
       }
       quota_.waitEnded(tenant, entry->facts.quotaCost);
-      --unpaidCount_;
+      --pendingCount_;
       entry->sink->setGoneCallback(nullptr);
       late.push_back(std::move(*entry));
       entry = waiting.erase(entry);
     }
   }
-  std::erase_if(unpaid_, [](const auto& entry) { return entry.second.empty(); });
-  for (const UnpaidRequest& unpaid : late) {
-    refuse(*unpaid.sink, unpaid.facts.requestId, kUnavailable, "quota is not confirmed",
-           kRetryAfterUnconfirmed, unpaid.facts.tenant);
+  std::erase_if(pendingRequests_, [](const auto& entry) { return entry.second.empty(); });
+  for (const PendingRequest& pending : late) {
+    refuse(*pending.sink, pending.facts.requestId, kUnavailable, "quota is not confirmed",
+           kRetryAfterUnconfirmed, pending.facts.tenant);
   }
-  askForQuota(unpaidCount_ == 0);
+  requestQuota(pendingCount_ == 0);
   if (!quota_.empty()) {
-    quotaTimer_->enableAt(now + (unpaidCount_ > 0 ? kUnpaidReview : QuotaAccount::kInterval));
+    quotaTimer_->enableAt(now +
+                          (pendingCount_ > 0 ? kPendingReviewInterval : QuotaAccount::kInterval));
   }
 }
 
--- a/src/registry/leader_limits.cpp
+++ b/src/registry/leader_limits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of a leader's duties that shares out what workers with a limit take.
+/// The part of the leader's tasks that grants gateways shares of the request limits of workers.
 
 #include <utility>
 
@@ -18,28 +18,28 @@
 
 }  // namespace
 
-void LeaderDuties::limitsReported(protocol::ConnectionId gateway, const LimitReport& report,
-                                  base::TimePoint now) {
+void LeaderDuties::handleLimitReport(protocol::ConnectionId gateway, const LimitReport& report,
+                                     base::TimePoint now) {
   LimitReport known;
-  for (const LimitSighting& sighting : report.sightings) {
+  for (const LimitObservation& sighting : report.sightings) {
     if (state_.findWorker(sighting.worker) != nullptr) {
       known.sightings.push_back(sighting);
     }
   }
-  for (const WorkerLimitBook::Change& change : limits_.report(known, now)) {
-    noteChanged(change.worker);
+  for (const WorkerLimitTracker::Change& change : limits_.report(known, now)) {
+    markChanged(change.worker);
     planSoon_ = true;
     log_.write(change.perSecond ? LogEvent::workerLimited : LogEvent::workerLimitEnded,
                {{"worker", change.worker.value},
                 {"limit", limitText(change.perSecond)},
-                {"former", limitText(change.former)},
+                {"former", limitText(change.previous)},
                 {"connection", gateway.value},
                 {"age-millis", millisOf(change.age)}});
   }
 }
 
-void LeaderDuties::sharesAsked(protocol::ConnectionId gateway, const ShareRequest& request,
-                               base::TimePoint now) {
+void LeaderDuties::sharesRequested(protocol::ConnectionId gateway, const ShareRequest& request,
+                                   base::TimePoint now) {
   actions_.emplace_back(control::SendToConnection{
       gateway, RegistryMessage{MessageBody(limits_.grant(gateway, request, now))}});
   logShareChanges();
--- a/src/registry/order_turns.cpp
+++ b/src/registry/order_times.cpp
@@ -1,4 +1,4 @@
-#include "registry/order_turns.h"
+#include "registry/order_times.h"
 
 #include <algorithm>
 
@@ -8,24 +8,25 @@
 
 namespace {
 
-/// Processes that are started together do so within some hundred ms, and grant no vote before the
-/// least election timeout has passed since their own start.
+/// Delay beyond the least election timeout until the previous holder's first election. Processes
+/// that are started together start within some hundred ms of one another, and grant no vote before
+/// the least election timeout has passed since their own start.
 constexpr base::Duration kHolderFirstElection = std::chrono::milliseconds(150);
-/// By how much later the others begin, so that the former holder has the time to be elected.
+/// The same delay for the other servers, long enough for the previous holder to be elected first.
 constexpr base::Duration kOthersFirstElection = std::chrono::milliseconds(600);
 constexpr base::Duration kOthersSpread = std::chrono::milliseconds(50);
-/// The others begin apart from one another, by their identities.
+/// The other servers start their elections at different times, spread by their identifiers.
 constexpr std::uint64_t kOthersSteps = 8;
 
 }  // namespace
 
-void OrderTurns::ordered(const std::vector<WorkerId>& workers, base::TimePoint now) {
+void OrderTimes::ordered(const std::vector<WorkerId>& workers, base::TimePoint now) {
   for (const WorkerId& worker : workers) {
     orderedAt_[worker] = now;
   }
 }
 
-void OrderTurns::succeeded(const WorkerId& former, const WorkerId& present) {
+void OrderTimes::succeeded(const WorkerId& former, const WorkerId& present) {
   const auto found = orderedAt_.find(former);
   if (found != orderedAt_.end()) {
     orderedAt_[present] = found->second;
@@ -33,12 +34,12 @@
   }
 }
 
-base::TimePoint OrderTurns::allowedAt(const WorkerId& worker, base::TimePoint electedAt,
+base::TimePoint OrderTimes::allowedAt(const WorkerId& worker, base::TimePoint electedAt,
                                       base::Duration lease) const {
   const auto found = orderedAt_.find(worker);
   const base::TimePoint orderedAt =
-      found == orderedAt_.end() ? unknownAt_ : std::max(found->second, unknownAt_);
-  return std::min(orderedAt + kRecordedOrderLifetime, electedAt) + lease + kTurnMargin;
+      found == orderedAt_.end() ? lastMissedOrderAt_ : std::max(found->second, lastMissedOrderAt_);
+  return std::min(orderedAt + kRecordedOrderLifetime, electedAt) + lease + kOrderLeaseMargin;
 }
 
 base::ServerId recoveredOrderHolder(const consensus::RecoveredState& recovered) {
--- a/src/registry/registry_state.cpp
+++ b/src/registry/registry_state.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Entries of the log, as they are applied to the replicated state.
+/// Application of log entries to the replicated state, and snapshots.
 
 #include <algorithm>
 #include <utility>
@@ -28,12 +28,12 @@
     bytesSinceSnapshot_ += entry.payload.size();
     const auto command = decodeCommand(entry.payload);
     if (command) {
-      noteRegistration(command.value(), entry.index);
-      noteSuccession(command.value());
+      recordRegistration(command.value(), entry.index);
+      recordSuccession(command.value());
       state_.apply(command.value());
       noteApplied(command.value(), entry.index);
     } else {
-      noteUnreadable(entry.index, command.error());
+      setUnreadable(entry.index, command.error());
       return;
     }
   }
@@ -47,7 +47,7 @@
   }
 }
 
-void RegistryImpl::noteUnreadable(consensus::LogIndex index, const base::Error& error) {
+void RegistryImpl::setUnreadable(consensus::LogIndex index, const base::Error& error) {
   log_.write(LogEvent::entryRefused, {{"index", index},
                                       {"error", base::errorCodeName(error.code)},
                                       {"field", error.field},
@@ -59,7 +59,7 @@
   if (const auto* document = std::get_if<StoreDocument>(&command)) {
     log_.write(LogEvent::documentStored, {{"version", document->version}, {"index", index}});
   } else if (const auto* worker = std::get_if<StoreWorker>(&command)) {
-    if (index > recoveredIndex_) {  // What was recovered is told of by the lines of that time.
+    if (index > recoveredIndex_) {  // Recovered entries were logged when they were first applied.
       log_.write(LogEvent::workerStored,
                  {{"worker", worker->worker.id.value},
                   {"service", worker->worker.service},
@@ -75,7 +75,7 @@
     }
     orderTurns_.forget(gone->worker);
   } else if (std::holds_alternative<StoreOrderHolder>(command) && index > recoveredIndex_) {
-    lastTurnAt_ = now_;
+    lastTakeoverAt_ = now_;
   } else if (const auto* ordered = std::get_if<StoreOrderedWorkers>(&command)) {
     noteOrdered(*ordered, index);
   } else if (const auto* raised = std::get_if<RaiseFeatureLevel>(&command)) {
@@ -91,8 +91,8 @@
   }
 }
 
-/// Before a command is applied.
-void RegistryImpl::noteRegistration(const Command& command, consensus::LogIndex index) {
+/// Records when a new worker registered; to be called before the command is applied.
+void RegistryImpl::recordRegistration(const Command& command, consensus::LogIndex index) {
   const auto* stored = std::get_if<StoreWorker>(&command);
   if (stored != nullptr && index > recoveredIndex_ &&
       state_.findWorker(stored->worker.id) == nullptr) {
@@ -100,13 +100,14 @@
   }
 }
 
-/// Before a command is applied.
-void RegistryImpl::noteSuccession(const Command& command) {
+/// Passes on the last order time of a worker's previous incarnation; to be called before the
+/// command is applied.
+void RegistryImpl::recordSuccession(const Command& command) {
   const auto* stored = std::get_if<StoreWorker>(&command);
   if (stored == nullptr) {
     return;
   }
-  const WorkerRecord* former = state_.findLife(stored->worker.calledName());
+  const WorkerRecord* former = state_.findIncarnation(stored->worker.calledName());
   if (former != nullptr && stored->worker.succeeds(*former)) {
     orderTurns_.succeeded(former->id, stored->worker.id);
     log_.write(LogEvent::workerReborn,
@@ -124,7 +125,8 @@
   }
 }
 
-/// As much is written in snapshots as in the log, however large the state is.
+/// Snapshots wait until the log has grown by the size of the last one, so that they write at most
+/// as many bytes as the log, however large the state is.
 void RegistryImpl::takeSnapshotIfDue() {
   if (bytesSinceSnapshot_ < std::max(options_.snapshotEveryBytes, snapshotBytes_)) {
     return;
--- a/src/registry/view_publisher_interest.cpp
+++ b/src/registry/view_publisher_interest.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of the publisher for fleets of which a gateway follows only some workers: what it does
-/// takes time in proportion to what changed and who follows it.
+/// The part of ViewPublisher for large fleets, in which a gateway follows only some workers. Its
+/// work grows with the number of changes and their followers.
 
 #include <algorithm>
 #include <utility>
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// Updates that one turn makes, at most: some ms of a small core.
-constexpr std::size_t kMostUpdatesInTurn = 64;
+/// Most updates per event loop iteration: some ms of a small core.
+constexpr std::size_t kMaxUpdatesPerIteration = 64;
 
 }  // namespace
 
-/// Gateways have been told of all workers so far, and go on following them.
-void ViewPublisher::followIfLarge() {
-  if (interest_ || gateways_.size() * workers_.size() <= kMostPairs) {
+/// Switches to partial views once the fleet is large. Gateways were sent all workers so far, and go
+/// on following them.
+void ViewPublisher::switchToPartialViews() {
+  if (interest_ || gateways_.size() * workers_.size() <= kMaxPairs) {
     return;
   }
   interest_.emplace();
@@ -38,7 +39,7 @@
         gateway.removed.insert(workerId);
         continue;
       }
-      interest_->followed(id, workerId);
+      interest_->markFollowed(id, workerId);
       gateway.loads.insert(workerId);
       if (worker.revision > gateway.revision) {
         gateway.changed.insert(workerId);
@@ -53,10 +54,10 @@
   takeInterestChanges();
 }
 
-void ViewPublisher::asked(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
-                          base::TimePoint now) {
+void ViewPublisher::recordRequest(protocol::ConnectionId gateway, const ModelKey& key, bool waiting,
+                                  base::TimePoint now) {
   if (interest_) {
-    interest_->asked(gateway, key, waiting, now);
+    interest_->recordRequest(gateway, key, waiting, now);
     takeInterestChanges();
   }
 }
@@ -65,7 +66,7 @@
   for (const ViewInterest::Change& change : interest_->takeChanges()) {
     Gateway& gateway = gateways_.at(change.gateway);
     if (!gateway.complete) {
-      continue;  // Its complete view has what it follows by then.
+      continue;  // Its complete view will have all workers that it follows.
     }
     if (change.follows) {
       gateway.changed.insert(change.worker);
@@ -76,7 +77,7 @@
       gateway.loads.erase(change.worker);
       gateway.removed.insert(change.worker);
     }
-    withNews_.insert(change.gateway);
+    withChanges_.insert(change.gateway);
   }
 }
 
@@ -85,12 +86,12 @@
     Gateway& gateway = gateways_.at(id);
     if (gateway.complete) {
       gateway.changed.insert(worker);
-      withNews_.insert(id);
+      withChanges_.insert(id);
     }
   }
 }
 
-/// Loads change all the time: they go with the next update that is due anyway.
+/// Loads change all the time, so they are sent only with the next update that is due anyway.
 void ViewPublisher::noteLoadChanged(const WorkerId& worker, std::uint32_t running) {
   if (!interest_) {
     return;
@@ -106,17 +107,17 @@
   gateway.dueAt = at;
   dueAt_.emplace(at, id);
   incomplete_.erase(id);
-  withNews_.erase(id);
+  withChanges_.erase(id);
 }
 
-/// A new document is news for all.
-void ViewPublisher::noteDocument(std::uint64_t version) {
-  if (!interest_ || std::exchange(toldVersion_, version) == version) {
+/// Schedules an update for all gateways if the document version has changed.
+void ViewPublisher::scheduleDocumentUpdate(std::uint64_t version) {
+  if (!interest_ || std::exchange(publishedVersion_, version) == version) {
     return;
   }
   for (const auto& [id, gateway] : gateways_) {
     if (gateway.complete) {
-      withNews_.insert(id);
+      withChanges_.insert(id);
     }
   }
 }
@@ -124,11 +125,12 @@
 bool ViewPublisher::followedDue(base::TimePoint now, std::uint64_t documentVersion) const {
   const bool intervalOver = !dueAt_.empty() && dueAt_.begin()->first <= now;
   const bool completeDue = !incomplete_.empty() && now >= completeUpdates_.next();
-  return intervalOver || completeDue || !withNews_.empty() || documentVersion != toldVersion_;
+  return intervalOver || completeDue || !withChanges_.empty() ||
+         documentVersion != publishedVersion_;
 }
 
-/// @return gateways to be told something now: those that wait for their first view, those that have
-/// waited longest, those with news.
+/// @return gateways to be sent an update now: first those that wait for their first view, then
+/// those whose interval is over, longest first, then those with changes.
 std::vector<protocol::ConnectionId> ViewPublisher::dueGateways(base::TimePoint now,
                                                                std::uint64_t documentVersion) {
   std::vector<protocol::ConnectionId> due;
@@ -140,17 +142,17 @@
     }
     return due;
   }
-  noteDocument(documentVersion);
+  scheduleDocumentUpdate(documentVersion);
   if (now >= completeUpdates_.next()) {
     due.assign(incomplete_.begin(), incomplete_.end());
-    due.resize(std::min(due.size(), kMostCompleteUpdates));
+    due.resize(std::min(due.size(), kMaxCompleteUpdates));
   }
-  const std::size_t most = due.size() + kMostUpdatesInTurn;
+  const std::size_t most = due.size() + kMaxUpdatesPerIteration;
   for (auto next = dueAt_.begin(); next != dueAt_.end() && next->first <= now && due.size() < most;
        ++next) {
     due.push_back(next->second);
   }
-  for (auto next = withNews_.begin(); next != withNews_.end() && due.size() < most; ++next) {
+  for (auto next = withChanges_.begin(); next != withChanges_.end() && due.size() < most; ++next) {
     if (gateways_.at(*next).dueAt > now) {
       due.push_back(*next);
     }
--- a/src/routing/controller_sessions.cpp
+++ b/src/routing/controller_sessions.cpp
@@ -8,11 +8,12 @@
 namespace {
 constexpr base::Duration kReopenMin = std::chrono::milliseconds(50);
 constexpr base::Duration kReopenMax = std::chrono::seconds(2);
-/// How long members may be out of reach before the configured controllers are asked as well.
+/// Time for which all members may be unreachable before the configured controllers are tried as
+/// well.
 constexpr base::Duration kFallbackAfter = std::chrono::seconds(2);
-/// How long a controller of the same zone is waited for before another one is watched.
+/// Time to wait for a controller of the same zone before another one is watched.
 constexpr base::Duration kSameZoneGrace = std::chrono::milliseconds(200);
-/// How long a controller that was behind is the last choice.
+/// Time for which a controller that lagged behind is the last choice.
 constexpr base::Duration kAvoidWatchFor = std::chrono::seconds(10);
 constexpr std::uint32_t kMaxBackoffDoublings = 8;
 }  // namespace
@@ -26,7 +27,7 @@
   reconcile();
 }
 
-std::set<base::Endpoint> ControllerSessions::wanted() const {
+std::set<base::Endpoint> ControllerSessions::wantedEndpoints() const {
   std::set<base::Endpoint> endpoints = members_;
   if (members_.empty() || fallback_) {
     endpoints.insert(options_.controllers.begin(), options_.controllers.end());
@@ -41,7 +42,7 @@
 }
 
 void ControllerSessions::reconcile() {
-  const std::set<base::Endpoint> endpoints = wanted();
+  const std::set<base::Endpoint> endpoints = wantedEndpoints();
   for (auto entry = sessions_.begin(); entry != sessions_.end();) {
     if (endpoints.contains(entry->first)) {
       ++entry;
@@ -61,25 +62,25 @@
   }
 }
 
-bool ControllerSessions::acceptable(const protocol::Hello& hello) const {
+bool ControllerSessions::isAcceptable(const protocol::Hello& hello) const {
   return hello.role == protocol::PeerRole::controller && hello.cell == options_.cell &&
          hello.protocolVersion == protocol::kProtocolVersion;
 }
 
-void ControllerSessions::connected(base::TimePoint now, const ControllerConnected& event,
-                                   consensus::LogIndex viewIndex) {
+void ControllerSessions::handleConnected(base::TimePoint now, const ControllerConnected& event,
+                                         consensus::LogIndex viewIndex) {
   const auto found = sessions_.find(event.endpoint);
   if (found == sessions_.end()) {
     return;  // Closed in the meantime.
   }
   Session& session = found->second;
-  if (!acceptable(event.hello)) {
+  if (!isAcceptable(event.hello)) {
     actions_.emplace_back(CloseController{event.endpoint});
     backOff(now, session);
     return;
   }
   if (watched_ == event.endpoint) {
-    watched_.reset();  // The watch ended with the former connection.
+    watched_.reset();  // The watch ended with the previous connection.
   }
   session.state = SessionState::connected;
   session.connection = event.connection;
@@ -93,7 +94,7 @@
   if (session.zone == options_.zone && !watched_.has_value()) {
     chooseWatch(now, viewIndex);
   }
-  checkFallback(now);
+  updateFallback(now);
 }
 
 void ControllerSessions::backOff(base::TimePoint now, Session& session) {
@@ -105,7 +106,7 @@
   session.reopenAt = now + random_.between(ceiling / 2, ceiling);
 }
 
-std::optional<protocol::ConnectionId> ControllerSessions::disconnected(
+std::optional<protocol::ConnectionId> ControllerSessions::handleDisconnected(
     base::TimePoint now, const base::Endpoint& endpoint) {
   const auto found = sessions_.find(endpoint);
   if (found == sessions_.end() || found->second.state == SessionState::backingOff) {
@@ -121,7 +122,7 @@
     watched_.reset();
     chooseWatchAt_ = now;
   }
-  checkFallback(now);
+  updateFallback(now);
   return gone;
 }
 
@@ -135,7 +136,7 @@
   if (!watched_.has_value()) {
     chooseWatchAt_ = now;
   }
-  checkFallback(now);
+  updateFallback(now);
 }
 
 bool ControllerSessions::memberConnected() const {
@@ -144,9 +145,9 @@
   });
 }
 
-void ControllerSessions::checkFallback(base::TimePoint now) {
+void ControllerSessions::updateFallback(base::TimePoint now) {
   if (members_.empty()) {
-    return;  // The configured controllers are wanted anyway.
+    return;  // The configured controllers are used anyway.
   }
   if (memberConnected()) {
     noMemberSince_ = base::kNever;
@@ -204,7 +205,7 @@
       SendToController{sessions_.at(*watched_).connection, protocol::WatchRequest{viewIndex}});
 }
 
-void ControllerSessions::watchIsBehind(base::TimePoint now, consensus::LogIndex viewIndex) {
+void ControllerSessions::replaceLaggingWatch(base::TimePoint now, consensus::LogIndex viewIndex) {
   if (!watched_.has_value()) {
     return;
   }
@@ -213,7 +214,7 @@
   session.avoidWatchUntil = now + kAvoidWatchFor;
   chooseWatch(now, viewIndex);
   if (watched_ != endpoint) {
-    // There is no message that ends a watch: a new connection does.
+    // No message ends a watch, so the connection is closed and opened again.
     actions_.emplace_back(CloseController{endpoint});
     backOff(now, session);
   }
@@ -228,7 +229,7 @@
   if (chooseWatchAt_ <= now) {
     chooseWatch(now, viewIndex);
   }
-  checkFallback(now);
+  updateFallback(now);
 }
 
 base::TimePoint ControllerSessions::nextWakeup() const {
--- a/src/routing/router_impl.cpp
+++ b/src/routing/router_impl.cpp
@@ -8,10 +8,11 @@
 namespace walnut::routing {
 
 namespace {
-constexpr base::Duration kComeBackSoon = std::chrono::seconds(1);
-/// How many probe intervals a watched controller may be behind a confirmed bound.
+/// Retry delay for callers whose request ran into its deadline.
+constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
+/// Number of probe intervals that a watched controller may lag behind a confirmed bound.
 constexpr int kWatchLagProbes = 2;
-/// How many probe intervals the first state of a cell may take to begin to arrive.
+/// Number of probe intervals within which the first snapshot page of the cell must arrive.
 constexpr int kFirstStateProbes = 4;
 }  // namespace
 
@@ -66,38 +67,38 @@
 
 void RouterImpl::handle(const CallerRequested& input) { admission_.admit(input.request); }
 
-void RouterImpl::handle(const CallerGone& input) {
+void RouterImpl::handle(const CallerDisconnected& input) {
   Request* request = core_.requests.find(input.request);
   if (request != nullptr) {
-    claims_.forget(*request);
+    claims_.removeRequest(*request);
     lifecycle_.abandon(*request);
   }
 }
 
-void RouterImpl::handle(const EngineEvent& input) { attempts_.event(input.event); }
+void RouterImpl::handle(const EngineEvent& input) { attempts_.handleEvent(input.event); }
 
-void RouterImpl::handle(const EngineExported& input) { mover_.exported(input); }
+void RouterImpl::handle(const EngineExported& input) { mover_.handleExported(input); }
 
-void RouterImpl::handle(const EngineHeld& input) { parker_.held(input); }
+void RouterImpl::handle(const StateHoldAnswered& input) { parker_.handleHeld(input); }
 
-void RouterImpl::handle(const StateKept& input) { parker_.kept(input); }
+void RouterImpl::handle(const StateStored& input) { parker_.handleKept(input); }
 
 void RouterImpl::handle(const CacheEventsRead& input) {
-  core_.selector.cacheEvents(input.engine, input.events);
+  core_.selector.applyCacheEvents(input.engine, input.events);
 }
 
 void RouterImpl::handle(const ControllerConnected& input) {
-  core_.sessions.connected(core_.now, input, core_.view.index());
-  noteLeader();
+  core_.sessions.handleConnected(core_.now, input, core_.view.index());
+  updateLeader();
   probeAt_ = core_.now;
 }
 
 void RouterImpl::handle(const ControllerDisconnected& input) {
-  const auto gone = core_.sessions.disconnected(core_.now, input.endpoint);
+  const auto gone = core_.sessions.handleDisconnected(core_.now, input.endpoint);
   if (gone.has_value()) {
-    core_.view.forgetPages(*gone);
+    core_.view.dropPages(*gone);
   }
-  noteLeader();
+  updateLeader();
 }
 
 void RouterImpl::handle(const ControllerMessage& input) {
@@ -106,11 +107,11 @@
 
 void RouterImpl::handle(const Tick&) {}
 
-void RouterImpl::handle(const PlannedStop&) { core_.stopping = true; }
+void RouterImpl::handle(const PlannedShutdown&) { core_.stopping = true; }
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::WatchDelta& delta) {
   const consensus::LogIndex before = core_.view.index();
-  applied(core_.view.applyDelta(delta), before);
+  handleApplyResult(core_.view.applyDelta(delta), before);
 }
 
 void RouterImpl::receive(protocol::ConnectionId connection,
@@ -120,23 +121,23 @@
   if (result == ApplyResult::applied) {
     watchProgressAt_ = core_.now;
   }
-  applied(result, before);
+  handleApplyResult(result, before);
 }
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::ProbeReply& reply) {
   core_.freshness.reply(reply, core_.view);
   core_.sessions.probeReply(reply);
-  noteLeader();
+  updateLeader();
 }
 
 void RouterImpl::receive(protocol::ConnectionId, const protocol::ClaimReply& reply) {
   const std::optional<ClaimAnswer> answer = claims_.reply(reply);
   if (answer.has_value()) {
-    dispatcher_.claimAnswered(*answer);
+    dispatcher_.handleClaimAnswer(*answer);
   }
 }
 
-void RouterImpl::applied(ApplyResult result, consensus::LogIndex indexBefore) {
+void RouterImpl::handleApplyResult(ApplyResult result, consensus::LogIndex indexBefore) {
   if (result == ApplyResult::gap &&
       core_.now - core_.sessions.watchedSince() >= core_.options.probeInterval) {
     core_.sessions.renewWatch(core_.now, core_.view.index());
@@ -154,7 +155,7 @@
   const ViewChange change = core_.view.takeChange();
   if (change.membership) {
     core_.sessions.membershipChanged(core_.now, core_.view.membership());
-    noteLeader();
+    updateLeader();
   }
   core_.freshness.viewChanged(core_.view);
   std::set<base::EngineId> engines = change.engines;
@@ -171,22 +172,22 @@
     mover_.engineChanged(engine);
   }
   for (const std::string& name : targets) {
-    // Others have neither waiting requests nor a load that is being observed.
+    // Other targets have neither waiting requests nor a load whose duration is being observed.
     if (core_.targets.contains(name)) {
       core_.dispatchDue.insert(name);
     }
   }
 }
 
-void RouterImpl::noteLeader() {
+void RouterImpl::updateLeader() {
   const std::optional<LeaderSession> leader = core_.sessions.leader();
   if (leader == leader_) {
     return;
   }
   leader_ = leader;
-  core_.demand.leaderChanged(core_.now, leader);
+  core_.demand.setLeader(core_.now, leader);
   if (leader.has_value()) {
-    claims_.leaderChanged();
+    claims_.resendToLeader();
   }
 }
 
@@ -198,7 +199,7 @@
   }
   for (Request* request = core_.requests.due(core_.now); request != nullptr;
        request = core_.requests.due(core_.now)) {
-    requestDue(*request);
+    handleRequestTimer(*request);
   }
 }
 
@@ -210,48 +211,48 @@
 
 void RouterImpl::checkWatch() {
   const base::TimePoint since = std::max(core_.sessions.watchedSince(), watchProgressAt_);
-  const std::optional<base::TimePoint> behind = core_.freshness.behindSince();
-  const bool lags = behind.has_value() && core_.now - std::max(since, *behind) >=
-                                              kWatchLagProbes * core_.options.probeInterval;
-  const bool silent = core_.view.index() == 0 &&
-                      core_.now - since >= kFirstStateProbes * core_.options.probeInterval;
-  if (lags || silent) {
-    core_.sessions.watchIsBehind(core_.now, core_.view.index());
-    noteLeader();
+  const std::optional<base::TimePoint> behind = core_.freshness.laggingSince();
+  const bool isLagging = behind.has_value() && core_.now - std::max(since, *behind) >=
+                                                   kWatchLagProbes * core_.options.probeInterval;
+  const bool isUnresponsive = core_.view.index() == 0 &&
+                              core_.now - since >= kFirstStateProbes * core_.options.probeInterval;
+  if (isLagging || isUnresponsive) {
+    core_.sessions.replaceLaggingWatch(core_.now, core_.view.index());
+    updateLeader();
   }
 }
 
-void RouterImpl::requestDue(Request& request) {
+void RouterImpl::handleRequestTimer(Request& request) {
   if (request.deadline <= core_.now) {
-    claims_.forget(request);
-    const bool retryable = RequestLifecycle::mayBeSentAgain(request);
+    claims_.removeRequest(request);
+    const bool retryable = RequestLifecycle::canBeResent(request);
     lifecycle_.refuse(request, {{base::ErrorCode::deadlineExceeded, "", "the deadline passed"},
                                 retryable,
-                                retryable ? kComeBackSoon : base::Duration(0)});
+                                retryable ? kRetryAfter : base::Duration(0)});
     return;
   }
   if (request.phaseDeadline > core_.now) {
-    if (RequestLifecycle::waitsWithState(request)) {
-      parker_.consider(request);
+    if (RequestLifecycle::waitsWithExportedState(request)) {
+      parker_.checkHolder(request);
     } else {
-      mover_.consider(request);
+      mover_.reconsider(request);
     }
     return;
   }
   switch (request.machine.state()) {
     case RequestState::claiming:
-      dispatcher_.claimTimedOut(request);
+      dispatcher_.handleClaimTimeout(request);
       break;
     case RequestState::exporting:
-      mover_.exportTimedOut(request);
+      mover_.handleExportTimeout(request);
       break;
     case RequestState::parking:
-      parker_.parkingDue(request);
+      parker_.handleParkingTimer(request);
       break;
     case RequestState::starting:
     case RequestState::streaming:
     case RequestState::backingOff:
-      attempts_.phaseOver(request);
+      attempts_.handlePhaseTimeout(request);
       break;
     case RequestState::queued:
     case RequestState::done:
--- a/test/consensus/cluster_faults.cpp
+++ b/test/consensus/cluster_faults.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Faults, load and the operator of a simulated cell.
+/// Fault injection, load and operator actions of a simulated cell.
 
 #include <algorithm>
 #include <utility>
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// Bounds the servers that a run makes.
+/// Maximum number of servers created in a run.
 constexpr std::size_t kMaxServers = 14;
 
 }  // namespace
 
 void Cluster::scheduleFaults() {
-  // Quiet runs matter: with fresh entries, the check of the log hides a broken lease.
+  // Half of the runs have little load: with recent entries, the log comparison in elections would
+  // hide a faulty lease.
   const base::Duration proposalInterval = random_.chance(0.5) ? 60ms : 3s;
   every(5ms, proposalInterval, [this] { propose(); });
   const base::Duration faultInterval = random_.between(200ms, 2s);
@@ -29,13 +30,13 @@
   every(20ms, 200ms, [this] {
     if (ClusterServer* leader = pickLeader()) {
       leader->beginRead(now_);
-      pump(*leader);
+      processOutputs(*leader);
     }
   });
   every(100ms, 800ms, [this] {
-    if (ClusterServer* server = pick([](ClusterServer& each) { return each.acts(); })) {
+    if (ClusterServer* server = pick([](ClusterServer& each) { return each.isActive(); })) {
       server->compact(random_.uniform(0, 20));
-      pump(*server);
+      processOutputs(*server);
     }
   });
 }
@@ -60,7 +61,7 @@
     default:
       if (ClusterServer* leader = pickLeader()) {
         leader->raft().transferLeadership(now_);
-        pump(*leader);
+        processOutputs(*leader);
       }
   }
 }
@@ -71,7 +72,7 @@
   }
 }
 
-/// Power is lost at most servers at once.
+/// Crashes most servers at once, as in a power failure.
 void Cluster::crashMany() {
   for (ClusterServer* server : select([](ClusterServer& each) { return each.running(); })) {
     if (random_.chance(0.7)) {
@@ -83,31 +84,31 @@
 void Cluster::crash(ClusterServer& server) {
   ++counts_.crashes;
   server.crash(random_);
-  const std::uint64_t life = server.life();
-  at(now_ + random_.between(5ms, 3s), [&server, life, this] {
-    if (server.life() == life && !server.running() && !server.lost) {
+  const std::uint64_t incarnation = server.incarnation();
+  at(now_ + random_.between(5ms, 3s), [&server, incarnation, this] {
+    if (server.incarnation() == incarnation && !server.running() && !server.lost) {
       startServer(server);
     }
   });
 }
 
 void Cluster::freezeServer() {
-  ClusterServer* server = pick([](ClusterServer& each) { return each.acts(); });
+  ClusterServer* server = pick([](ClusterServer& each) { return each.isActive(); });
   if (server == nullptr) {
     return;
   }
   ++counts_.freezes;
   server->frozen = true;
-  const std::uint64_t life = server->life();
-  at(now_ + random_.between(5ms, 4s), [server, life, this] {
-    if (server->life() == life) {
+  const std::uint64_t incarnation = server->incarnation();
+  at(now_ + random_.between(5ms, 4s), [server, incarnation, this] {
+    if (server->incarnation() == incarnation) {
       thaw(*server);
     }
   });
 }
 
-/// What arrived meanwhile is handled at once, before any tick: the process doesn't know yet how
-/// late it is.
+/// Resumes a frozen server. Messages that arrived meanwhile are handled before any tick, since the
+/// process doesn't know yet how much time has passed.
 void Cluster::thaw(ClusterServer& server) {
   if (!server.running() || !server.frozen) {
     return;
@@ -116,10 +117,10 @@
   if (std::exchange(server.syncDoneWhileFrozen, false)) {
     finishSync(server);
   }
-  for (const Message& message : std::exchange(server.held, {})) {
+  for (const Message& message : std::exchange(server.heldMessages, {})) {
     server.raft().receive(now_, message);
   }
-  pump(server);
+  processOutputs(server);
 }
 
 void Cluster::cutLinks() {
@@ -148,7 +149,8 @@
   });
 }
 
-/// A voter's disk may be lost if no other loss is being repaired; then a majority keeps its data.
+/// @return true if no other disk loss is being repaired, so that a majority keeps its data even if
+/// a voter loses its disk.
 bool Cluster::mayLoseDisk() {
   ClusterServer* leader = pickLeader();
   if (leader == nullptr || servers_.size() >= kMaxServers) {
@@ -185,7 +187,7 @@
   if (ClusterServer* leader = pickLeader()) {
     const std::string payload = "command " + std::to_string(++proposals_);
     static_cast<void>(leader->raft().propose(now_, payload));
-    pump(*leader);
+    processOutputs(*leader);
   }
 }
 
@@ -201,7 +203,7 @@
   if (next != current && leader->raft().changeMembership(now_, next)) {
     ++counts_.membershipChanges;
   }
-  pump(*leader);
+  processOutputs(*leader);
 }
 
 void Cluster::addLearner(Membership& membership) {
@@ -211,7 +213,8 @@
   }
 }
 
-/// Repairs a loss; else promotes learners, and now and then adds or removes a member.
+/// Draws the operator's next membership: replaces a member with a lost disk, otherwise promotes a
+/// learner, and occasionally adds or removes a member.
 Membership Cluster::drawMembership(const Membership& current) {
   Membership next = current;
   const auto lost = std::find_if(next.members.begin(), next.members.end(),
--- a/test/consensus/cluster_server.cpp
+++ b/test/consensus/cluster_server.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Pads the state, so that a snapshot takes many chunks.
+/// Size to which the state is padded, so that a snapshot takes many chunks.
 constexpr std::size_t kStateBytes = 300;
-/// FNV-1a.
+/// Prime of the FNV-1a hash.
 constexpr std::uint64_t kDigestPrime = 0x100000001b3ULL;
 
 std::uint64_t addToDigest(std::uint64_t digest, std::string_view bytes) {
@@ -31,7 +31,7 @@
 
 void ClusterServer::start(const RaftOptions& options, const Membership& bootstrap,
                           std::uint64_t seed, base::TimePoint now) {
-  ++life_;
+  ++incarnation_;
   applied_ = 0;
   digest_ = 0;
   frozen = false;
@@ -49,7 +49,7 @@
   ready_ = {};
   synced_ = false;
   reads_.clear();
-  held.clear();
+  heldMessages.clear();
   syncDoneWhileFrozen = false;
 }
 
--- a/test/consensus/vote_test.cpp
+++ b/test/consensus/vote_test.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// Handlers of VoteRequest and VoteReply, and what becomes of a vote in a crash.
+/// Tests how VoteRequest and VoteReply are handled, and whether votes survive a crash.
 
 #include "consensus/test_messages.h"
 #include "consensus/test_server.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace walnut;
@@ -14,12 +14,13 @@
 
 namespace {
 
-/// The bootstrap entry.
+/// Position of the bootstrap entry.
 constexpr LogPosition kBootstrap{1, 1};
-/// Past the least election timeout, before the first timeout is drawn: no lease, no candidate.
+/// Delay after which the lease is over but the server's own election timeout is not reached yet.
 constexpr base::Duration kLeaseOver = 500ms;
 
-/// A server of three that hears nobody, past the lease and before its own election.
+/// Makes a server in a cell of three that has no contact to others, at a time after the lease and
+/// before its own election.
 TestServer makeIdleServer() {
   RaftOptions options;
   options.electionTimeoutMax = 10s;
@@ -116,7 +117,7 @@
   CHECK_EQUAL(5U, server.status().term);
 }
 
-TEST(VoteTest, aHandOverPassesTheLease) {
+TEST(VoteTest, aLeadershipTransferBypassesTheLease) {
   TestServer server = makeIdleServer();
   server.receive(2, makeAppend(2, kBootstrap, {}));
   server.takeSent();
@@ -171,7 +172,7 @@
 
 TEST(VoteTest, aCandidateDoesNotCountItsOwnVoteBeforeItIsDurable) {
   TestServer server(1, makeMembership(3));
-  server.wake();
+  server.advanceToWakeup();
   const Term next = server.status().term + 1;
   server.raft().receive(server.now(),
                         {base::ServerId{2}, base::ServerId{1}, VoteReply{next, true, true}});
@@ -201,13 +202,13 @@
   CHECK_TRUE(server.status().role == Role::leader);
 }
 
-TEST(VoteTest, votesThatDoNotCount) {
+TEST(VoteTest, invalidVotesAreIgnored) {
   struct Case {
     std::uint64_t from;
     VoteReply reply;
   };
   TestServer server(1, makeMembership(5));
-  server.wake();
+  server.advanceToWakeup();
   const Term next = server.status().term + 1;
   server.receive(2, VoteReply{next, true, true});
   server.receive(3, VoteReply{next, true, true});
@@ -227,7 +228,7 @@
 
 TEST(VoteTest, aHigherTermInAReplyEndsTheCandidacy) {
   TestServer server(1, makeMembership(3));
-  server.wake();
+  server.advanceToWakeup();
   server.receive(2, VoteReply{9, true, false});
   CHECK_TRUE(server.status().role == Role::follower);
   CHECK_EQUAL(9U, server.status().term);
@@ -236,7 +237,7 @@
 
 TEST(VoteTest, aCandidateFollowsTheLeaderOfItsTerm) {
   TestServer server(1, makeMembership(3));
-  server.wake();
+  server.advanceToWakeup();
   server.receive(2, VoteReply{2, true, true});
   CHECK_TRUE(server.status().role == Role::candidate);
   server.receive(3, makeAppend(2, kBootstrap, {}));
@@ -261,14 +262,14 @@
   server.elect();
   const base::TimePoint elected = server.now();
   while (server.status().role == Role::leader) {
-    server.wake();
+    server.advanceToWakeup();
   }
   CHECK_TRUE(server.now() - elected <= RaftOptions{}.electionTimeoutMin);
   CHECK_FALSE(server.raft().leaseValid(server.now()));
   CHECK_TRUE(server.raft().propose(server.now(), "x").error().code == base::ErrorCode::notLeader);
 }
 
-TEST(VoteTest, aThawedLeaderHasNoLease) {
+TEST(VoteTest, aLeaderThatResumesAfterAPauseHasNoLease) {
   TestServer server(1, makeMembership(3));
   server.elect();
   server.acknowledge(2);
--- a/test/gateway/limited_worker_test.cpp
+++ b/test/gateway/limited_worker_test.cpp
@@ -1,5 +1,4 @@
-/// What a gateway sends to a worker that names the requests a second that it takes, and what it
-/// believes of that limit.
+/// Tests of rate limits that workers announce: what a gateway sends, and how limits begin and end.
 
 #include "gateway/gateway_harness.h"
 
@@ -24,10 +23,11 @@
     return harness.request(route, "r" + std::to_string(++lastRequest));
   }
   std::size_t sentCount() { return harness.launcher.sent.size(); }
-  const Sent& lastSent() { return *harness.launcher.sent.back(); }
-  /// The worker answers what it was sent last.
-  /// @param limit empty: it names none.
-  void answer(const Sent& sent, const std::string& limit, bool sealed = true, int status = 200) {
+  const SentRequest& lastSent() { return *harness.launcher.sent.back(); }
+  /// Delivers the worker's response to a request.
+  /// @param limit announced in the response; empty: none.
+  void answer(const SentRequest& sent, const std::string& limit, bool sealed = true,
+              int status = 200) {
     net::MessageHead head;
     head.status = status;
     head.headers.add("Id", *sent.request.headers.find("Id"));
@@ -39,12 +39,12 @@
     sent.callbacks->onResponseComplete();
     harness.scheduler.settle();
   }
-  /// The worker names its limit in the answer to a request.
+  /// Sends a request, whose response announces a limit.
   void limit(const std::string& text) {
     const auto caller = request();
     answer(lastSent(), text);
   }
-  void tell(std::optional<double> limit, bool complete = false) {
+  void announceLimit(std::optional<double> limit, bool complete = false) {
     registry::ViewUpdate update;
     update.complete = complete;
     update.changed = {GatewayHarness::worker(1)};
@@ -53,11 +53,11 @@
     harness.scheduler.settle();
   }
   void grant(double requests, base::Duration retryAfter = 0ms) {
-    const registry::QuotaRequest& question = harness.link.shares.back();
-    harness.gateway.sharesGranted({{question.sequence, {{"w1", requests, retryAfter}}}, {}});
+    const registry::QuotaRequest& shareRequest = harness.link.shares.back();
+    harness.gateway.sharesGranted({{shareRequest.sequence, {{"w1", requests, retryAfter}}}, {}});
     harness.scheduler.settle();
   }
-  /// The leader is lost, and no other one is found.
+  /// Disconnects the leader, so that none is followed.
   void loseLeader() {
     harness.loseLeader();
     harness.scheduler.settle();
@@ -77,7 +77,7 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-TEST(LimitedWorkerTest, whatTheLimitLeavesNoRoomForIsRefusedAtOnce) {
+TEST(LimitedWorkerTest, aRequestOverTheLimitIsRefusedWithRetryAfter) {
   begin();
   limit("1");
   const auto caller = request();
@@ -86,14 +86,14 @@
   const double seconds = std::stod(*caller->headers.find("Retry-After"));
   CHECK(seconds >= 1.5 && seconds <= 2.25);
   CHECK_EQUAL(1, sentCount());
-  // The next one is not asked for at all.
-  const std::size_t questions = harness.link.shares.size();
+  // For the next request no share is requested at all.
+  const std::size_t shareRequestCount = harness.link.shares.size();
   const auto next = request();
   CHECK_EQUAL(503, next->status);
-  CHECK_EQUAL(questions, harness.link.shares.size());
+  CHECK_EQUAL(shareRequestCount, harness.link.shares.size());
 }
 
-/// A failing worker is not worth a question, and without a share it is no last resort either.
+/// For a failing worker no share is requested, and without a share it is no last resort either.
 TEST(LimitedWorkerTest, aFailingWorkerWithoutAShareIsNotSentTo) {
   begin();
   limit("1");
@@ -109,7 +109,7 @@
   CHECK_EQUAL(503, caller->status);
 }
 
-TEST(LimitedWorkerTest, otherWorkersServeWhatALimitedOneHasNoRoomFor) {
+TEST(LimitedWorkerTest, otherWorkersServeRequestsOverTheLimit) {
   begin(2);
   limit("1");
   const registry::WorkerId limited = lastSent().worker.id;
@@ -120,7 +120,7 @@
   }
 }
 
-/// Retries and resumptions are requests like others.
+/// Retries and resumptions count against the limit like other requests.
 TEST(LimitedWorkerTest, aRetryNeedsAShareToo) {
   begin();
   const auto first = request();
@@ -150,9 +150,9 @@
   STRCMP_EQUAL("r3", lastSent().request.headers.find("Id")->c_str());
 }
 
-// What is believed
+// Known limits
 
-/// Answers on different connections overtake one another.
+/// Responses on different connections may overtake one another.
 TEST(LimitedWorkerTest, anAnswerToAnEarlierRequestDoesNotEndALimit) {
   begin();
   const auto first = request();
@@ -167,45 +167,45 @@
   CHECK_EQUAL(2, sentCount());
 }
 
-TEST(LimitedWorkerTest, theLeadersWordEndsALimit) {
+TEST(LimitedWorkerTest, theLeaderEndsALimit) {
   begin();
   limit("1");
-  tell(1);
+  announceLimit(1);
   harness.scheduler.advance(10ms);
   const auto caller = request();
   grant(1);
   answer(lastSent(), "");
   CHECK_EQUAL(2, harness.link.limits.size());
   CHECK(!harness.link.limits[1].perSecond);
-  tell(std::nullopt);
+  announceLimit(std::nullopt);
   const std::size_t before = sentCount();
   const auto next = request();
   CHECK_EQUAL(before + 1, sentCount());
   CHECK_EQUAL(1, logged(runtime::LogEvent::workerLimitEnded));
 }
 
-/// A view that was sent before the leader heard of the limit ends nothing.
-TEST(LimitedWorkerTest, aLeaderThatHasNotHeardOfALimitDoesNotEndIt) {
+/// A view that was sent before the limit was reported to the leader must not end the limit.
+TEST(LimitedWorkerTest, aLeaderThatDoesNotKnowALimitYetDoesNotEndIt) {
   begin();
   limit("1");
-  tell(std::nullopt);
+  announceLimit(std::nullopt);
   const auto caller = request();
   CHECK_EQUAL(1, sentCount());
 }
 
-TEST(LimitedWorkerTest, aLeaderThatKnowsOfNoLimitGrantsAll) {
+TEST(LimitedWorkerTest, aLeadersGrantEndsALimitUnknownToIt) {
   begin();
   limit("1");
   const auto caller = request();
-  const registry::QuotaRequest& question = harness.link.shares.back();
-  harness.gateway.sharesGranted({{question.sequence, {{"w1", 1, 0ms}}}, {{"w1"}}});
+  const registry::QuotaRequest& shareRequest = harness.link.shares.back();
+  harness.gateway.sharesGranted({{shareRequest.sequence, {{"w1", 1, 0ms}}}, {{"w1"}}});
   harness.scheduler.settle();
   CHECK_EQUAL(2, sentCount());
   const auto next = request();
   CHECK_EQUAL(3, sentCount());
 }
 
-TEST(LimitedWorkerTest, aRejectionNamesALimitAndEndsNone) {
+TEST(LimitedWorkerTest, aRejectionCanAnnounceALimitButNotEndOne) {
   begin();
   const auto caller = request();
   answer(lastSent(), "1", false, 503);
@@ -216,14 +216,14 @@
   CHECK_EQUAL(1, harness.link.limits.size());
 }
 
-TEST(LimitedWorkerTest, aFailureOfTheWorkerNamesALimitToo) {
+TEST(LimitedWorkerTest, aServerErrorCanAnnounceALimit) {
   begin();
   const auto caller = request("once");
   answer(lastSent(), "2", true, 500);
   CHECK_EQUAL(1, harness.link.limits.size());
 }
 
-TEST(LimitedWorkerTest, theLowerOfTwoLimitsThatCrossedHolds) {
+TEST(LimitedWorkerTest, theLowerOfTwoConcurrentLimitsIsUsed) {
   begin();
   const auto first = request();
   const auto second = request();
@@ -234,7 +234,7 @@
   DOUBLES_EQUAL(1, *harness.link.limits[0].perSecond, 0.001);
 }
 
-TEST(LimitedWorkerTest, whatCantBeReadIsLoggedOnceAndNothingIsGuessed) {
+TEST(LimitedWorkerTest, anUnreadableLimitIsLoggedOnceAndIgnored) {
   begin();
   limit("bad");
   limit("bad");
@@ -251,8 +251,8 @@
   CHECK_EQUAL(before, sentCount());
 }
 
-/// It begins without a limit, whatever the life before it named.
-TEST(LimitedWorkerTest, aLimitEndsWithTheLifeOfItsWorker) {
+/// A new incarnation begins without a limit, whatever the previous one announced.
+TEST(LimitedWorkerTest, aLimitEndsWithTheIncarnationOfItsWorker) {
   begin();
   limit("1");
   registry::ViewUpdate update;
@@ -265,7 +265,7 @@
 
 // Leaders
 
-TEST(LimitedWorkerTest, anotherLeaderIsToldOfTheLimitBeforeItIsAsked) {
+TEST(LimitedWorkerTest, aNewLeaderGetsTheLimitBeforeShareRequests) {
   begin();
   limit("1");
   harness.scheduler.advance(200ms);
@@ -276,13 +276,13 @@
   DOUBLES_EQUAL(1, *harness.link.limits[1].perSecond, 0.001);
   CHECK(harness.link.limits[1].answeredAgo == 200ms);
   // Its first view has no limit yet.
-  tell(std::nullopt, true);
+  announceLimit(std::nullopt, true);
   const auto caller = request();
   CHECK_EQUAL(1, sentCount());
 }
 
-/// 16 gateways together send 0.4 of the limit.
-TEST(LimitedWorkerTest, withoutALeaderLittleIsSent) {
+/// 16 gateways together send 0.4 of the limit, so that this one sends 0.1 requests per second.
+TEST(LimitedWorkerTest, withoutALeaderAFractionOfTheLimitIsSent) {
   begin();
   registry::ViewUpdate update;
   update.gateways = 16;
@@ -301,13 +301,13 @@
     served += caller->status == 200 ? 1 : 0;
     refused += caller->status == 503 ? 1 : 0;
   }
-  // 400 s at 0.1 a second.
+  // 400 s at 0.1 requests per second yield 40.
   CHECK(served <= 41);
   CHECK(served >= 36);
   CHECK_EQUAL(2000, refused + served);
 }
 
-TEST(LimitedWorkerTest, aLeaderOfAnEarlierBuildIsNotAsked) {
+TEST(LimitedWorkerTest, aLeaderWithoutTheFeatureGetsNoShareRequests) {
   harness.featureLevel = registry::feature::kHeartbeatBatches;
   begin();
   limit("1");
@@ -318,21 +318,21 @@
   CHECK_EQUAL(503, caller->status);
 }
 
-/// The machine stood still between the turn of the loop and the request.
-TEST(LimitedWorkerTest, aShareThatEndedWhileTheMachineWasSuspendedIsNotUsed) {
+/// The machine is suspended between the begin of the event loop iteration and the request.
+TEST(LimitedWorkerTest, aShareThatExpiredDuringASuspensionIsNotUsed) {
   begin();
   limit("1");
   const auto caller = request();
   grant(2);
   CHECK_EQUAL(2, sentCount());
-  harness.scheduler.sleepInTurn(registry::kQuotaLease);
+  harness.scheduler.suspendWithinIteration(registry::kQuotaLease);
   const auto next = request();
   CHECK_EQUAL(2, sentCount());
 }
 
 TEST_GROUP(UnsharedRateTest){};
 
-TEST(UnsharedRateTest, oneIsAllowedEachPeriod) {
+TEST(UnsharedRateTest, oneRequestIsPermittedEachPeriod) {
   base::TimePoint now(100s);
   UnsharedRate rate(10s, 0.5, now);
   CHECK_FALSE(rate.allows(now + 4900ms));
@@ -342,12 +342,12 @@
   CHECK_TRUE(rate.allows(now + 15s));
 }
 
-TEST(UnsharedRateTest, whatIsNotUsedSoonIsLost) {
+TEST(UnsharedRateTest, unusedPermitsExpire) {
   base::TimePoint now(100s);
   UnsharedRate rate(10s, 0.5, now);
   CHECK_FALSE(rate.allows(now + 5s + UnsharedRate::kUsableFor + 1ms));
   CHECK_TRUE(rate.allows(now + 15s));
-  // A high rate brings no more at once than a second of it.
+  // A high rate yields a burst of no more than one second of permits.
   UnsharedRate high(100ms, 0, now);
   now += 60s;
   int sent = 0;
--- a/test/registry/cell_state_test.cpp
+++ b/test/registry/cell_state_test.cpp
@@ -1,4 +1,4 @@
-/// The replicated state.
+/// Tests of CellState, the replicated state.
 
 #include "registry/cell_state.h"
 
@@ -18,7 +18,7 @@
 
 TEST_GROUP(CellStateTest) { CellState state; };
 
-TEST(CellStateTest, theHighestVersionHolds) {
+TEST(CellStateTest, onlyAHigherVersionReplacesTheDocument) {
   state.apply(StoreDocument{5, "five"});
   state.apply(StoreDocument{4, "four"});
   state.apply(StoreDocument{5, "other five"});
@@ -47,7 +47,7 @@
   CHECK(state.findWorker({"new"}) != nullptr);
 }
 
-TEST(CellStateTest, aSnapshotHoldsAll) {
+TEST(CellStateTest, aSnapshotRestoresTheWholeState) {
   state.apply(StoreDocument{5, "five"});
   state.apply(StoreWorker{worker("w", 1)});
   state.apply(ForgetWorker{{"gone"}});
@@ -60,7 +60,7 @@
   CHECK_TRUE(restored.orderHolder() == base::ServerId{7});
 }
 
-TEST(CellStateTest, evidenceAgainstRequestsIsInTheSnapshot) {
+TEST(CellStateTest, aSnapshotRestoresEvidenceAgainstRequests) {
   state.apply(StoreDocument{5, "five"});
   state.apply(StoreCrash{{"w1"}, {}, {RequestDigest{}}});
   state.apply(StoreCrash{{"w2"}, {}, {RequestDigest{}}});
@@ -71,7 +71,7 @@
   CHECK_FALSE(restored.requestCrashes().has(RequestDigest{}, {"w2"}));
 }
 
-/// A snapshot of before there was any such evidence is read as well.
+/// Snapshots of builds without such evidence must stay readable.
 TEST(CellStateTest, withoutEvidenceTheSnapshotHasNoBytesOfIt) {
   state.apply(StoreDocument{5, "five"});
   const std::string without = state.encode();
@@ -90,7 +90,7 @@
   CHECK_TRUE(decodeCommand(std::string_view("\xff\xff\xff", 3)).has_error());
 }
 
-TEST(CellStateTest, aZoneIsEvacuatedAndComesBack) {
+TEST(CellStateTest, aZoneIsEvacuatedAndReturnsToService) {
   state.apply(StoreZoneEvacuation{{"zone"}, true, 0});
   CHECK_TRUE(state.evacuated({"zone"}));
   CHECK_FALSE(state.evacuated({"other"}));
@@ -122,7 +122,7 @@
   CHECK_EQUAL(1, restored.zoneChanges());
 }
 
-/// A server of an earlier build takes the snapshot of a cell whose level has not risen.
+/// A server of an earlier build must be able to read the snapshot of a cell at level 0.
 TEST(CellStateTest, aSnapshotBeforeTheFirstLevelHasNothingNew) {
   state.apply(StoreDocument{5, "five"});
   const std::string bytes = state.encode();
--- a/test/registry/crash_monitor_test.cpp
+++ b/test/registry/crash_monitor_test.cpp
@@ -1,4 +1,4 @@
-/// What counts as the crash of a worker, and which requests gateways are told of.
+/// Tests of CrashMonitor: what counts as a worker crash, and the standings of suspect requests.
 
 #include "registry/crash_monitor.h"
 
@@ -30,8 +30,8 @@
   runtime::NullEventLog log;
   std::unique_ptr<CrashMonitor> monitor = std::make_unique<CrashMonitor>(state, log);
   base::TimePoint now = base::TimePoint(100s);
-  std::map<WorkerId, base::TimePoint> heardAt;
-  base::TimePoint hearingSince = now;
+  std::map<WorkerId, base::TimePoint> heartbeatAt;
+  base::TimePoint receivingSince = now;
   bool logTakesCommands = true;
 
   void setup() override {
@@ -42,11 +42,11 @@
   void add(const char* id, std::uint16_t port = 0, bool leaving = false) {
     const auto own = static_cast<std::uint16_t>(port == 0 ? id[1] : port);
     state.apply(StoreWorker{{{id}, "svc", {"10.0.1.1", own}, {}, 4, leaving}});
-    heard(id);
+    heartbeat(id);
   }
-  void heard(const char* id) {
-    heardAt[{id}] = now;
-    monitor->heard({id});
+  void heartbeat(const char* id) {
+    heartbeatAt[{id}] = now;
+    monitor->recordContact({id});
     commit();
   }
   void cut(const char* worker, std::vector<RequestDigest> requests, base::Duration age = 0s) {
@@ -66,19 +66,19 @@
   }
   void run(base::Duration duration) {
     for (const base::TimePoint end = now + duration; now < end; now += kStep) {
-      monitor->review(now, kOverdue, [this](const WorkerId& id) -> CrashMonitor::Signs {
-        const auto found = heardAt.find(id);
-        if (found == heardAt.end()) {
-          return {std::nullopt, hearingSince};
+      monitor->review(now, kOverdue, [this](const WorkerId& id) -> CrashMonitor::Contact {
+        const auto found = heartbeatAt.find(id);
+        if (found == heartbeatAt.end()) {
+          return {std::nullopt, receivingSince};
         }
-        return {found->second, std::max(found->second, hearingSince)};
+        return {found->second, std::max(found->second, receivingSince)};
       });
       commit();
     }
   }
-  /// The worker is heard, has the requests, and is not heard again.
+  /// Lets the worker make contact, then crash with these requests.
   void crash(const char* worker, const std::vector<RequestDigest>& requests) {
-    heard(worker);
+    heartbeat(worker);
     cut(worker, requests);
     run(kOverdue + 2 * kStep);
   }
@@ -100,18 +100,18 @@
   }
 };
 
-TEST(CrashMonitorTest, aWorkerThatIsHeardAfterTheCutHasNotEnded) {
+TEST(CrashMonitorTest, aWorkerWithContactAfterTheCutHasNotEnded) {
   cut("w1", {kRequest});
   run(500ms);
-  heard("w1");
+  heartbeat("w1");
   run(5s);
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, aHeartbeatThatWasUnderWayAtTheCutProvesNothing) {
+TEST(CrashMonitorTest, aHeartbeatInFlightAtTheCutDoesNotShowThatTheWorkerIsAlive) {
   cut("w1", {kRequest});
   now += 20ms;
-  heard("w1");
+  heartbeat("w1");
   run(kOverdue + 2 * kStep);
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
@@ -125,34 +125,34 @@
   CHECK_EQUAL(1, crashesOf(kOther));
 }
 
-TEST(CrashMonitorTest, aWorkerThatAnotherIncarnationReplacesHasEndedAtOnce) {
+TEST(CrashMonitorTest, aWorkerReplacedByAnotherIncarnationHasEnded) {
   cut("w1", {kRequest});
   add("w9", '1');
   run(2 * kStep);
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, aLeavingWorkerEndsByItself) {
+TEST(CrashMonitorTest, theEndOfALeavingWorkerIsNoCrash) {
   add("w1", '1', true);
   cut("w1", {kRequest});
   run(5s);
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, whatIsTakenForACrashIsTakenBackIfTheWorkerIsHeard) {
+TEST(CrashMonitorTest, aCrashIsRetractedIfTheWorkerMakesContact) {
   crash("w1", {kRequest});
   CHECK_EQUAL(1, crashesOf(kRequest));
-  heard("w1");
+  heartbeat("w1");
   run(kStep);
   CHECK_EQUAL(0, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, standingsFollowTheCrashes) {
+TEST(CrashMonitorTest, standingsFollowTheNumberOfCrashes) {
   crash("w1", {kRequest, kOther});
   checkStanding(kRequest, std::nullopt);
   crash("w2", {kRequest});
   checkStanding(kRequest, RequestStanding::suspected);
-  heard("w3");
+  heartbeat("w3");
   cut("w3", {kRequest});
   run(kStep);
   checkStanding(kRequest, RequestStanding::held);
@@ -161,19 +161,19 @@
   checkStanding(kOther, std::nullopt);
 }
 
-/// They would come again together, be cut together again, and could not be told apart.
+/// Suspects that are retried together would be cut together again and could not be told apart.
 TEST(CrashMonitorTest, suspectsOfTheSameCrashesRunInTurns) {
   RequestDigest first = digest(1);
   RequestDigest second = digest(2);
-  for (std::size_t turn = 0; turn < first.bytes.size(); ++turn) {
-    first.bytes[turn] = static_cast<std::uint8_t>(turn);
-    second.bytes[turn] = static_cast<std::uint8_t>(turn + 1);
+  for (std::size_t slice = 0; slice < first.bytes.size(); ++slice) {
+    first.bytes[slice] = static_cast<std::uint8_t>(slice);
+    second.bytes[slice] = static_cast<std::uint8_t>(slice + 1);
   }
   crash("w1", {first, second});
   crash("w2", {first, second});
   bool firstRan = false;
   bool secondRan = false;
-  for (int turn = 0; turn < 3; ++turn) {
+  for (int slice = 0; slice < 3; ++slice) {
     run(2s);
     const bool firstRuns = standingOf(first) == RequestStanding::suspected;
     const bool secondRuns = standingOf(second) == RequestStanding::suspected;
@@ -187,7 +187,7 @@
   checkStanding(second, RequestStanding::suspected);
 }
 
-/// Beside other suspects, which come again meanwhile.
+/// The other suspects are retried meanwhile and may turn out to be the cause.
 TEST(CrashMonitorTest, theVerdictOnAThirdCrashWaitsForThoseBeside) {
   crash("w1", {kRequest, kOther});
   crash("w2", {kRequest, kOther});
@@ -207,19 +207,19 @@
   checkStanding(kRequest, RequestStanding::quarantined);
 }
 
-TEST(CrashMonitorTest, aHeldRequestGoesOnIfTheWorkerHadNotEnded) {
+TEST(CrashMonitorTest, aHeldRequestIsReleasedIfTheWorkerHadNotEnded) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
-  heard("w3");
+  heartbeat("w3");
   cut("w3", {kRequest});
   run(200ms);
   checkStanding(kRequest, RequestStanding::held);
-  heard("w3");
+  heartbeat("w3");
   run(2 * kStep);
   checkStanding(kRequest, RequestStanding::suspected);
 }
 
-TEST(CrashMonitorTest, aNewLeaderKnowsWhatTheLogHas) {
+TEST(CrashMonitorTest, aNewLeaderContinuesFromTheEvidenceInTheLog) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   monitor = std::make_unique<CrashMonitor>(state, log);
@@ -231,8 +231,8 @@
 
 TEST(CrashMonitorTest, aNewLeaderTakesReportsOfCutsFromBeforeIt) {
   now += 10s;
-  hearingSince = now;
-  heardAt.clear();
+  receivingSince = now;
+  heartbeatAt.clear();
   cut("w1", {kRequest}, 2s);
   run(kOverdue);
   CHECK_EQUAL(0, crashesOf(kRequest));
@@ -240,7 +240,7 @@
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, evidenceThatTheLogLostIsProposedAgain) {
+TEST(CrashMonitorTest, lostEvidenceIsProposedAgain) {
   logTakesCommands = false;
   crash("w1", {kRequest});
   logTakesCommands = true;
@@ -248,7 +248,7 @@
   CHECK_EQUAL(1, crashesOf(kRequest));
 }
 
-TEST(CrashMonitorTest, aRequestThatWasAnsweredIsNoSuspectAnyMore) {
+TEST(CrashMonitorTest, anAnsweredRequestIsNoLongerASuspect) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   CutReport report;
@@ -259,13 +259,13 @@
   checkStanding(kRequest, std::nullopt);
 }
 
-TEST(CrashMonitorTest, aQuarantineEndsOnceTheEvidenceIsOldAndIsBackWithOneCrash) {
+TEST(CrashMonitorTest, aQuarantineExpiresAndReturnsAfterOneMoreCrash) {
   crash("w1", {kRequest});
   crash("w2", {kRequest});
   crash("w3", {kRequest});
-  now += CrashMonitor::kEvidenceLasts;
+  now += CrashMonitor::kEvidenceRetention;
   for (const char* id : {"w4"}) {
-    heardAt[{id}] = now;
+    heartbeatAt[{id}] = now;
   }
   run(2 * kStep);
   checkStanding(kRequest, RequestStanding::suspected);
@@ -273,7 +273,7 @@
   checkStanding(kRequest, RequestStanding::quarantined);
 }
 
-TEST(CrashMonitorTest, withoutCutsThereIsNothingToTell) {
+TEST(CrashMonitorTest, withoutCutsTheListOfSuspectsIsEmpty) {
   run(5s);
   CHECK_FALSE(monitor->takeChanged());
   CHECK(monitor->list(now).requests.empty());
--- a/test/registry/leader_troubles_test.cpp
+++ b/test/registry/leader_faults_test.cpp
@@ -1,21 +1,21 @@
-/// A leader that was suspended, and models whose loads end their workers.
+/// Tests of a leader that was suspended, and of models whose loads crash their workers.
 
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 
 using namespace walnut;
 using namespace walnut::registry;
 using namespace walnut::registry::testing;
 
 TEST_GROUP_BASE(SuspendedLeaderTest,
-                LeaderDutiesKit){void setup() override{LeaderDutiesKit::setup();
+                LeaderDutiesFixture){void setup() override{LeaderDutiesFixture::setup();
 lead();
 hold("w1", "a");
 hold("w2", "b");
 runAnswering(1s);
 }
-/// Time passes in which nothing runs.
+/// Advances the time while nothing runs.
 void sleep(base::Duration duration) { now += duration; }
-bool toldSilent() const {
+bool loggedUnresponsive() const {
   return std::any_of(log.lines.begin(), log.lines.end(), [](runtime::LogEvent event) {
     return event == runtime::LogEvent::workerSilent;
   });
@@ -23,21 +23,21 @@
 }
 ;
 
-TEST(SuspendedLeaderTest, workersThatCouldNotBeHeardAreNotSilent) {
+TEST(SuspendedLeaderTest, workersAreNotUnresponsiveRightAfterTheSuspension) {
   sleep(5s);
   run(1s);
-  CHECK_FALSE(toldSilent());
+  CHECK_FALSE(loggedUnresponsive());
   run(5s);
-  CHECK_TRUE(toldSilent());
+  CHECK_TRUE(loggedUnresponsive());
 }
 
-TEST(SuspendedLeaderTest, workersThatCouldNotBeHeardAreNotForgotten) {
+TEST(SuspendedLeaderTest, workersAreNotForgottenRightAfterTheSuspension) {
   sleep(60s);
   run(1s);
   CHECK(state.findWorker({"w1"}) != nullptr);
 }
 
-TEST(SuspendedLeaderTest, aCutBeforeTheSuspensionIsNoCrashUntilTheWorkerCouldBeHeard) {
+TEST(SuspendedLeaderTest, aCutBeforeTheSuspensionIsNoCrashUntilContactWasPossible) {
   CutReport report;
   report.cuts.push_back({RequestDigest{}, {"w1"}, false, 0s});
   duties->cutsReported(report, now);
@@ -49,7 +49,7 @@
   CHECK_TRUE(state.requestCrashes().empty());
 }
 
-TEST(SuspendedLeaderTest, withoutTheLeaseItTellsAndOrdersNothing) {
+TEST(SuspendedLeaderTest, withoutAValidLeaseNothingIsSentOrOrdered) {
   duties->subscribe(kGateway, {});
   demandModel("b");
   sleep(5s);
@@ -62,10 +62,10 @@
   CHECK_EQUAL(0, count<control::SendToConnection>());
 }
 
-TEST_GROUP_BASE(EndingLoadTest, LeaderDutiesKit){};
+TEST_GROUP_BASE(EndingLoadTest, LeaderDutiesFixture){};
 
-/// A model that ends each worker that loads it, as somebody asks for it all the time.
-TEST(EndingLoadTest, aModelWhoseLoadsEndTheirWorkersIsLoadedEverMoreSeldom) {
+/// The model crashes each worker that loads it, and is requested all the time.
+TEST(EndingLoadTest, loadsOfAModelThatCrashesItsWorkersBackOff) {
   lead();
   hold("w1", "b");
   hold("w2", "b");
@@ -81,7 +81,7 @@
       }
       ++loads;
       duties->orderFinished({order->order, OrderOutcome::accepted}, now);
-      // It ends, and is back at once under another id.
+      // The worker crashes and restarts immediately under another id.
       WorkerRecord next = order->worker;
       next.id = {"next" + std::to_string(loads)};
       state.apply(StoreWorker{next});
--- a/test/registry/store_rate_test.cpp
+++ b/test/registry/store_rate_test.cpp
@@ -1,4 +1,4 @@
-/// How many loads may begin in any window.
+/// Tests the limit on the number of loads that start in any window.
 
 #include "registry/store_rate.h"
 
@@ -19,7 +19,7 @@
 
 constexpr double kPerSecond = 3;
 constexpr StoreWindow kWindow{5s, 1.1};
-/// 3 a second for 5 s, a tenth more, and 3.
+/// Bound for 3 loads per second in a window of 5 s: 15, a tenth more, and 3.
 constexpr std::size_t kMostInWindow = 19;
 
 }  // namespace
@@ -28,8 +28,9 @@
   std::optional<StoreRate> store = StoreRate();
   base::TimePoint now = base::TimePoint(100s);
 
-  /// Begins all loads that may begin at each step. @return how many did.
-  /// @param earlier those of the last window, of former leaders as well.
+  /// Starts all loads that may start at each step.
+  /// @return the number of loads started.
+  /// @param earlier start times within the last window, those of previous leaders included.
   std::size_t run(base::Duration duration, std::size_t* mostInWindow = nullptr,
                   std::deque<base::TimePoint>* earlier = nullptr) {
     std::deque<base::TimePoint> own;
@@ -39,7 +40,7 @@
     for (; now < end; now += 20ms) {
       store->setLimit(kPerSecond, kWindow, now);
       while (store->allows()) {
-        store->taken();
+        store->recordStart();
         begun.push_back(now);
         ++count;
       }
@@ -54,7 +55,7 @@
   }
 };
 
-TEST(StoreRateTest, noWindowHoldsMoreThanAllowedAfterARest) {
+TEST(StoreRateTest, noWindowHoldsMoreThanAllowedAfterAPause) {
   store->setLimit(kPerSecond, kWindow, now);
   now += 60s;
   std::size_t most = 0;
@@ -66,10 +67,10 @@
 
 TEST(StoreRateTest, theWholeRateIsUsedInTheLongRun) { CHECK_TRUE(run(100s) >= 299); }
 
-/// Orders take some ms, and some wait for a busy worker's link.
+/// Orders take some milliseconds to arrive, and some are delayed by a worker's busy link.
 TEST(StoreRateTest, noWindowHoldsMoreThanAllowedWhereOrdersArriveUnevenly) {
   constexpr double kLargeRate = 300;
-  constexpr std::size_t kMostInLargeWindow = 1653;  // 300 a second for 5 s, a tenth more, and 3.
+  constexpr std::size_t kMostInLargeWindow = 1653;  // 300 per second for 5 s, a tenth more, and 3.
   std::multiset<base::TimePoint> begun;
   store->setLimit(kLargeRate, kWindow, now);
   now += 60s;
@@ -77,7 +78,7 @@
   for (const base::TimePoint end = now + 20s; now < end; now += 1ms) {
     store->setLimit(kLargeRate, kWindow, now);
     while (store->allows()) {
-      store->taken();
+      store->recordStart();
       begun.insert(now + random.between(base::Duration::zero(), base::Duration(50ms)));
     }
   }
@@ -88,7 +89,7 @@
   }
 }
 
-TEST(StoreRateTest, severalBeginAtOnceAfterARest) {
+TEST(StoreRateTest, severalLoadsMayStartAtOnceAfterAPause) {
   store->setLimit(kPerSecond, kWindow, now);
   now += 10s;
   CHECK_EQUAL(3, run(20ms));
@@ -97,7 +98,7 @@
 TEST(StoreRateTest, aNewLeaderBeginsWithoutTheBurst) { CHECK_EQUAL(1, run(20ms)); }
 
 TEST(StoreRateTest, aLeaderThatHasNoPredecessorBeginsWithTheBurst) {
-  store.emplace(FormerLoads{std::nullopt});
+  store.emplace(PreviousLoads{std::nullopt});
   std::size_t most = 0;
   CHECK_EQUAL(3, run(20ms, &most));
   run(30s, &most);
@@ -105,21 +106,21 @@
 }
 
 TEST(StoreRateTest, theTimeSinceTheLastLoadOfAPredecessorIsCounted) {
-  store.emplace(FormerLoads{now - 400ms});
+  store.emplace(PreviousLoads{now - 400ms});
   CHECK_EQUAL(2, run(20ms));
 }
 
 TEST(StoreRateTest, aPredecessorWhoseOrdersMayStillArriveLeavesOneToken) {
-  store.emplace(FormerLoads{now + 300ms});
+  store.emplace(PreviousLoads{now + 300ms});
   CHECK_EQUAL(1, run(20ms));
 }
 
-/// Guards against leaders that take the burst which their predecessor has used.
+/// Guards against new leaders that use a burst which the previous leader has already used.
 TEST(StoreRateTest, noWindowHoldsMoreThanAllowedWhereLeadersFollowOneAnother) {
   base::Random random(1);
   std::deque<base::TimePoint> begun;
   std::size_t most = 0;
-  FormerLoads former{std::nullopt};
+  PreviousLoads former{std::nullopt};
   for (int leader = 0; leader < 200; ++leader) {
     store.emplace(former);
     run(random.between(base::Duration(5s), base::Duration(20s)), &most, &begun);
@@ -129,18 +130,18 @@
   CHECK_TRUE(most <= kMostInWindow);
 }
 
-/// Shows that the test before would see such leaders.
+/// Shows that noWindowHoldsMoreThanAllowedWhereLeadersFollowOneAnother would detect such leaders.
 TEST(StoreRateTest, leadersThatBeginWithTheBurstWithoutKnowingExceedTheWindow) {
   std::deque<base::TimePoint> begun;
   std::size_t most = 0;
   for (int leader = 0; leader < 2; ++leader) {
-    store.emplace(FormerLoads{std::nullopt});
+    store.emplace(PreviousLoads{std::nullopt});
     run(4s, &most, &begun);
   }
   CHECK_TRUE(most > kMostInWindow);
 }
 
-TEST(StoreRateTest, theWaitIsThatOfTheTokensThatAreMissing) {
+TEST(StoreRateTest, theWaitCoversTheMissingTokens) {
   CHECK_EQUAL(1, run(20ms));
   const base::Duration first = store->wait(0);
   CHECK_TRUE(first > 300ms && first <= 1s / kPerSecond);
@@ -150,11 +151,11 @@
   CHECK_TRUE(store->allows());
 }
 
-TEST(StoreRateTest, ordersWithoutAnAnswerKeepTheBurst) {
+TEST(StoreRateTest, ordersWithAnUnclearOutcomeReserveTheBurst) {
   store->setLimit(kPerSecond, kWindow, now);
   now += 10s;
   for (int count = 0; count < 5; ++count) {
-    store->unclear(now);
+    store->recordUnclear(now);
   }
   CHECK_EQUAL(1, run(20ms));
   now += 12s;
@@ -165,6 +166,6 @@
   store->setLimit(0, kWindow, now);
   for (int count = 0; count < 100; ++count) {
     CHECK_TRUE(store->allows());
-    store->taken();
+    store->recordStart();
   }
 }
--- a/test/registry/zone_evacuation_test.cpp
+++ b/test/registry/zone_evacuation_test.cpp
@@ -1,8 +1,8 @@
-/// The operator has a zone evacuated: durable, idempotent, told to gateways, and known to
+/// Tests of zone evacuations: durable, idempotent, published to gateways and respected by
 /// placement.
 
 #include "registry/cluster.h"
-#include "registry/leader_duties_kit.h"
+#include "registry/leader_duties_fixture.h"
 
 // Last: it redefines new.
 #include <CppUTest/TestHarness.h>
@@ -34,8 +34,8 @@
   void order(std::uint16_t port, const EvacuateZone& change) {
     CHECK_TRUE(cluster.callUntilDone(port, change, 20s));
   }
-  /// @return whether a worker of that zone is out of service, as a new gateway is told.
-  bool toldOutOfService() {
+  /// @return true if the zone's worker is out of service in the view sent to a new gateway.
+  bool isPublishedOutOfService() {
     const std::uint16_t leader = *cluster.leader();
     ViewDecoder decoder;
     bool leaving = false;
@@ -56,25 +56,25 @@
   }
 };
 
-TEST(ZoneEvacuationClusterTest, anyServerTakesIt) {
+TEST(ZoneEvacuationClusterTest, anyServerAcceptsAnEvacuation) {
   startFive();
   registerWorker();
   for (std::uint16_t port = 1; port <= 5; ++port) {
     order(port, kBegin);
-    CHECK_TRUE(toldOutOfService());
+    CHECK_TRUE(isPublishedOutOfService());
     order(static_cast<std::uint16_t>(port % 5 + 1), kEnd);
-    CHECK_FALSE(toldOutOfService());
+    CHECK_FALSE(isPublishedOutOfService());
   }
 }
 
-TEST(ZoneEvacuationClusterTest, itIsAcknowledgedWithinAHundredMilliseconds) {
+TEST(ZoneEvacuationClusterTest, anEvacuationIsAcknowledgedWithinAHundredMilliseconds) {
   startFive();
   const base::TimePoint before = cluster.now();
   CHECK_TRUE(cluster.call(2, kBegin).status == ControlStatus::done);
   CHECK_TRUE(cluster.now() - before <= 100ms);
 }
 
-TEST(ZoneEvacuationClusterTest, aRepeatedOrderIsAcknowledgedAgain) {
+TEST(ZoneEvacuationClusterTest, aRepeatedEvacuationIsAcknowledgedAgain) {
   startFive();
   order(1, kBegin);
   CHECK_TRUE(cluster.call(2, kBegin).status == ControlStatus::done);
@@ -110,18 +110,18 @@
     cluster.start(port, lost ? port + 100U : port, {}, kSeeds);
   }
   cluster.run(8s);
-  CHECK_TRUE(toldOutOfService());
+  CHECK_TRUE(isPublishedOutOfService());
 }
 
-/// A server that was cut off hands its call on only after the zone has come back.
+/// A partitioned server forwards its call only after the evacuation of the zone has ended.
 TEST(ZoneEvacuationClusterTest, aCallThatComesAfterTheEndChangesNothing) {
   startFive();
   registerWorker();
   const std::uint16_t leader = *cluster.leader();
   order(leader, kBegin);
   order(leader, kEnd);
-  cluster.say(leader, ForwardedCall{1, kBegin});
-  CHECK_FALSE(toldOutOfService());
+  cluster.sendAsGateway(leader, ForwardedCall{1, kBegin});
+  CHECK_FALSE(isPublishedOutOfService());
 }
 
 TEST(ZoneEvacuationClusterTest, whatIsBasedOnAnEarlierStateIsNotAcknowledged) {
@@ -129,13 +129,13 @@
   const std::uint16_t leader = *cluster.leader();
   order(leader, kBegin);
   order(leader, kEnd);
-  const std::vector<MessageBody> answers = cluster.say(leader, ForwardedCall{1, kBegin});
+  const std::vector<MessageBody> answers = cluster.sendAsGateway(leader, ForwardedCall{1, kBegin});
   CHECK_EQUAL(1, answers.size());
   const auto* answer = std::get_if<ForwardedAnswer>(&answers.front());
   CHECK_TRUE(answer != nullptr && answer->answer.status == ControlStatus::unavailable);
 }
 
-/// Its log would hold an entry that it can't read.
+/// The log of a server of an earlier build would have an entry that it can't decode.
 TEST(ZoneEvacuationClusterTest, itWaitsForServersOfAnEarlierBuild) {
   cluster.setFeatureLevel(1, 0);
   startFive();
@@ -153,12 +153,12 @@
   CHECK_EQUAL(4, cluster.voterCount(*cluster.leader()));
 }
 
-TEST_GROUP_BASE(ZoneEvacuationDutiesTest, LeaderDutiesKit){void evacuate(bool evacuated){
+TEST_GROUP_BASE(ZoneEvacuationDutiesTest, LeaderDutiesFixture){void evacuate(bool evacuated){
     state.apply(StoreZoneEvacuation{{"zone-a"}, evacuated, state.zoneRevision({"zone-a"})});
 duties->stateChanged(now);
 }
-/// Workers of the views that were sent, and whether they are out of service.
-std::map<WorkerId, bool> told() {
+/// @return the workers in the views that were sent, mapped to true if out of service.
+std::map<WorkerId, bool> publishedWorkers() {
   std::map<WorkerId, bool> leaving;
   for (const RegistryAction& action : std::exchange(actions, {})) {
     const auto* sent = std::get_if<control::SendToConnection>(&action);
@@ -187,15 +187,15 @@
   lead();
   duties->subscribe(kGateway, {});
   run(100ms);
-  CHECK_FALSE(told().at({"w1"}));
+  CHECK_FALSE(publishedWorkers().at({"w1"}));
   evacuate(true);
   run(20ms);
-  const std::map<WorkerId, bool> evacuated = told();
+  const std::map<WorkerId, bool> evacuated = publishedWorkers();
   CHECK_TRUE(evacuated.at({"w1"}));
   CHECK_EQUAL(0, evacuated.count({"w2"}));
   evacuate(false);
   run(20ms);
-  CHECK_FALSE(told().at({"w1"}));
+  CHECK_FALSE(publishedWorkers().at({"w1"}));
 }
 
 TEST(ZoneEvacuationDutiesTest, aWorkerThatRegistersLaterIsOutOfServiceToo) {
@@ -205,7 +205,7 @@
   state.apply(StoreWorker{{{"w3"}, "svc", {"10.0.1.1", 3}, {"zone-a"}, 4, false}});
   duties->stateChanged(now);
   run(100ms);
-  CHECK_TRUE(told().at({"w3"}));
+  CHECK_TRUE(publishedWorkers().at({"w3"}));
 }
 
 TEST(ZoneEvacuationDutiesTest, aLeavingWorkerDoesNotComeBackWithItsZone) {
@@ -218,10 +218,10 @@
   evacuate(true);
   evacuate(false);
   run(100ms);
-  CHECK_TRUE(told().at({"w1"}));
+  CHECK_TRUE(publishedWorkers().at({"w1"}));
 }
 
-TEST(ZoneEvacuationDutiesTest, itsModelsAreLoadedElsewhereAndNothingIsOrderedThere) {
+TEST(ZoneEvacuationDutiesTest, modelsOfAnEvacuatedZoneAreLoadedElsewhere) {
   inZoneA("w1");
   lead();
   hold("w1", "a");
--- a/test/routing/router_fleet.h
+++ b/test/routing/router_fleet.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Many routers in one virtual time that share the engines of one model.
+/// Many routers in a common virtual time that share the engines of one model.
 
 #include <algorithm>
 #include <memory>
@@ -13,7 +13,8 @@
 
 namespace walnut::routing::testing {
 
-/// The routers see each change of an engine at the same instant, which is the worst case for waves.
+/// Runs many routers. They see each change of an engine at the same instant, which is the worst
+/// case for synchronized retries.
 class RouterFleet {
  public:
   static constexpr base::Duration kStep = std::chrono::milliseconds(5);
@@ -31,43 +32,45 @@
     }
   }
 
-  /// Opens streams at each router that go on until the engine is lost.
+  /// Opens streams at each router that continue until the engine fails.
   void openStreams(std::size_t perRouter) {
     for (Member& member : members_) {
       for (std::size_t number = 0; number < perRouter; ++number) {
         request(member);
       }
-      for (; member.seen < member.router->started.size(); ++member.seen) {
-        member.open.push_back(member.router->started[member.seen]);
-        give(member, engine::GenerateToken{id(member.open.back()),
-                                           member.open.back().generate.attempt, 0, "token"});
+      for (; member.handledStarts < member.router->starts.size(); ++member.handledStarts) {
+        member.open.push_back(member.router->starts[member.handledStarts]);
+        deliver(member, engine::GenerateToken{id(member.open.back()),
+                                              member.open.back().generate.attempt, 0, "token"});
       }
     }
   }
-  /// Another replica of the model is ready on the engine.
+  /// Makes another replica of the model ready on the engine.
   void addReplica(std::size_t engine) {
     for (Member& member : members_) {
-      member.router->change(protocol::EngineChanged{engineRecord(engine)});
-      member.router->change(protocol::ReplicaChanged{replicaRecord(engine + 1, "model", engine)});
+      member.router->commitChange(protocol::EngineChanged{engineRecord(engine)});
+      member.router->commitChange(
+          protocol::ReplicaChanged{replicaRecord(engine + 1, "model", engine)});
     }
   }
-  /// The engine's streams break, and it answers attempts by the code, as not run.
-  void lose(std::size_t engine, base::ErrorCode answer) {
-    answer_ = answer;
-    lost_.insert(engineRecord(engine).id);
+  /// Breaks the engine's streams. The engine then fails all attempts with the code, as not
+  /// executed.
+  void failEngine(std::size_t engine, base::ErrorCode answer) {
+    failureCode_ = answer;
+    failedEngines_.insert(engineRecord(engine).id);
     for (Member& member : members_) {
       const std::vector<StartAttempt> open = std::exchange(member.open, {});
       for (const StartAttempt& start : open) {
-        if (lost_.contains(start.engine)) {
+        if (failedEngines_.contains(start.engine)) {
           member.router->fail(start, base::ErrorCode::connectionLost,
                               engine::GenerateFailed::Started::unknown);
         }
       }
     }
   }
-  void bringBack(std::size_t engine) { lost_.erase(engineRecord(engine).id); }
+  void restoreEngine(std::size_t engine) { failedEngines_.erase(engineRecord(engine).id); }
 
-  /// Engines within reach answer each attempt at once and whole.
+  /// Advances the time. Reachable engines answer each attempt completely and at once.
   void run(base::Duration duration) {
     for (base::Duration passed{0}; passed < duration; passed += kStep) {
       std::size_t failed = 0;
@@ -78,20 +81,20 @@
           member.nextArrival += arrivalInterval_;
           request(member);
         }
-        for (; member.seen < member.router->started.size(); ++member.seen) {
-          const StartAttempt start = member.router->started[member.seen];
-          if (lost_.contains(start.engine)) {
+        for (; member.handledStarts < member.router->starts.size(); ++member.handledStarts) {
+          const StartAttempt start = member.router->starts[member.handledStarts];
+          if (failedEngines_.contains(start.engine)) {
             ++failed;
             member.recovered = false;
-            member.router->fail(start, answer_, engine::GenerateFailed::Started::no);
+            member.router->fail(start, failureCode_, engine::GenerateFailed::Started::no);
           } else {
             recovered += std::exchange(member.recovered, true) ? 0 : 1;
             ++answered;
-            give(member, engine::GenerateEnded{id(start),
-                                               start.generate.attempt,
-                                               start.generate.offset,
-                                               engine::FinishReason::stop,
-                                               {}});
+            deliver(member, engine::GenerateEnded{id(start),
+                                                  start.generate.attempt,
+                                                  start.generate.offset,
+                                                  engine::FinishReason::stop,
+                                                  {}});
           }
         }
       }
@@ -100,7 +103,7 @@
     }
   }
 
-  /// @return the greatest sum over a window, from the given time after the first run on.
+  /// @return the greatest sum over any window that begins at least `from` after the first step.
   static std::size_t peak(const std::vector<std::size_t>& perStep, base::Duration from) {
     const auto width = static_cast<std::size_t>(kWindow / kStep);
     std::size_t greatest = 0;
@@ -129,22 +132,22 @@
     return count;
   }
 
-  std::vector<std::size_t> failedPerStep;     ///< Attempts at lost engines.
-  std::vector<std::size_t> recoveredPerStep;  ///< Routers whose last attempt had failed.
+  std::vector<std::size_t> failedPerStep;     ///< Attempts at failed engines.
+  std::vector<std::size_t> recoveredPerStep;  ///< Routers whose previous attempt had failed.
   std::size_t answered = 0;
 
  private:
   struct Member {
     std::unique_ptr<RouterHarness> router;
     base::TimePoint nextArrival;
-    std::size_t seen = 0;  ///< Attempts that were answered, or are in `open`.
+    std::size_t handledStarts = 0;  ///< Attempts that were answered or are in `open`.
     std::vector<StartAttempt> open;
     bool recovered = true;
   };
 
   static base::RequestId id(const StartAttempt& start) { return start.generate.request; }
-  static void give(Member& member, const engine::GenerateEvent& event) {
-    member.router->give(EngineEvent{event});
+  static void deliver(Member& member, const engine::GenerateEvent& event) {
+    member.router->deliver(EngineEvent{event});
   }
   void request(Member& member) {
     member.router->request("request-" + std::to_string(nextRequest_++), deadline_);
@@ -154,8 +157,8 @@
   base::Duration arrivalInterval_;
   base::Duration deadline_;
   std::vector<Member> members_;
-  std::set<base::EngineId> lost_;
-  base::ErrorCode answer_ = base::ErrorCode::connectFailed;  ///< Of lost engines.
+  std::set<base::EngineId> failedEngines_;
+  base::ErrorCode failureCode_ = base::ErrorCode::connectFailed;  ///< Error code of failed engines.
   std::uint64_t nextRequest_ = 1;
 };
 
